--- a/crates/coordinator/src/cores/acceptor.rs
+++ b/crates/coordinator/src/cores/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and gives each to a core.
+//! Accepts connections and assigns each to a core.
 
 use crate::net::http::{Gated, Handed};
 use multi_core::core_dispatch::CoreDispatcher;
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Pause after a failed accept: out of descriptors, until some that are in use come back.
+/// Pause after a failed accept, such as for lack of descriptors, until some may have been released.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Counts a connection on its core for as long as it lives.
+/// Counts a connection on its core until this is dropped.
 struct ConnectionGuard {
     dispatcher: Arc<CoreDispatcher>,
     core: usize,
@@ -22,18 +22,18 @@
     }
 }
 
-/// Accepts connections for the cores.
+/// The task that accepts connections for all cores.
 pub(super) struct Acceptor {
     pub(super) listener: Gated,
     pub(super) dispatcher: Arc<CoreDispatcher>,
-    /// Where each core takes its connections from.
+    /// The channel that each core receives its connections from, by core.
     pub(super) cores: Vec<mpsc::UnboundedSender<Handed>>,
-    /// The origin of the dispatcher's times.
+    /// The instant that the dispatcher's times are relative to.
     pub(super) origin: Instant,
 }
 
 impl Acceptor {
-    /// Accepts for ever.
+    /// Accepts connections without end.
     pub(super) async fn run(mut self) {
         loop {
             match self.listener.accept().await {
@@ -43,14 +43,14 @@
                     }
                 }
                 Err(e) => {
-                    log::warn!(error:% = e; "accept");
+                    log::warn!(error:% = e; "accept failed; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Gives a connection to a core. A core that is ending takes no more; another one may.
+    /// Assigns a connection to a core. If a core is ending and refuses it, the other cores are tried in order.
     fn dispatch(&self, stream: TcpStream, from: SocketAddr) {
         let now_us = self.origin.elapsed().as_micros() as u64;
         let preferred = self.dispatcher.core_for_connection(now_us);
--- a/crates/coordinator/src/cores/core_thread.rs
+++ b/crates/coordinator/src/cores/core_thread.rs
@@ -1,4 +1,4 @@
-//! The work of one core's thread.
+//! The thread of one core.
 
 use super::current::set_current_core;
 use super::SharedCoreState;
@@ -9,34 +9,34 @@
 use crate::net::hosts::{HostConnections, HostConnectionsSetup};
 use crate::net::http::{self, Handed, Incoming};
 use crate::ops::hot_restart::RestartRole;
-use crate::serve::components::{dialect, limits};
+use crate::serve::components::{dialect, server_limits};
 use multi_core::core_dispatch::CoreDispatcher;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// What a core's thread is given.
+/// The parts that a core's thread is started with.
 pub(super) struct CoreThread {
     pub(super) core: usize,
     pub(super) config: Config,
     pub(super) fronts: Arc<Fronts>,
     pub(super) inbox: mpsc::UnboundedReceiver<CoreMessage>,
-    /// The other end of `inbox`.
-    pub(super) mail: mpsc::UnboundedSender<CoreMessage>,
-    /// The connections that the core is given.
+    /// The sender of `inbox`.
+    pub(super) mailbox: mpsc::UnboundedSender<CoreMessage>,
+    /// Receives the connections assigned to the core.
     pub(super) connections: mpsc::UnboundedReceiver<Handed>,
     pub(super) shared: SharedCoreState,
     pub(super) dispatcher: Arc<CoreDispatcher>,
-    /// The origin of the dispatcher's and the gates' times.
+    /// The instant that the times of the dispatcher and the gates are relative to.
     pub(super) origin: Instant,
     pub(super) counters: Counters,
     pub(super) stop: watch::Receiver<bool>,
-    /// Whether the thread is bound to a processor.
+    /// Whether to bind the thread to a processor.
     pub(super) pin: bool,
     pub(super) restart_role: watch::Receiver<RestartRole>,
 }
 
-/// Marks a core as dead, however its thread ends, and tells the supervisor.
+/// Marks a core as dead and notifies the supervisor when the core's thread ends, also by a panic.
 pub(super) struct EndGuard {
     pub(super) dispatcher: Arc<CoreDispatcher>,
     pub(super) core: usize,
@@ -51,10 +51,10 @@
 }
 
 impl CoreThread {
-    /// Serves on the present thread until told to stop.
+    /// Serves on the current thread until `stop` turns true.
     ///
     /// # Errors
-    /// If the runtime can't be had or the core has ended by itself.
+    /// If the runtime can't be created or the core's task has ended before the stop.
     pub(super) fn run(self, guard: EndGuard) -> std::io::Result<()> {
         let _guard = guard;
         set_current_core(self.core);
@@ -73,16 +73,16 @@
         } = self;
         let cores = self.dispatcher.core_count();
         let capacity = config.capacity.per_core(cores);
-        // To the rules that all routers keep together, each core is one router: a cold host's budget first of all.
+        // Each core counts as one router in the rules that all routers share, such as the budget of a cold host.
         let settings = &mut config.site.router;
         settings.routers = settings.routers.saturating_mul(cores as u32);
         let seed = config.seed ^ (core as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let limits = limits(&config, capacity, self.restart_role.clone());
+        let limits = server_limits(&config, capacity, self.restart_role.clone());
         let hosts = HostConnections::new(HostConnectionsSetup {
             dialect: dialect(&config),
             caps: config.site.limits.clone(),
             max_connections: capacity.host_connections,
-            core: self.mail,
+            core: self.mailbox,
             counters: self.counters.clone(),
             gates: Some((self.shared.gates.clone(), self.origin)),
             restart_role: self.restart_role,
@@ -109,12 +109,12 @@
     }
 }
 
-/// Binds this thread to a processor, where there is one and the system lets it.
+/// Binds the current thread to a processor; cores beyond the number of processors share them. Logs a failure.
 fn pin_to_processor(core: usize) {
     let processors = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     let mut set = rustix::thread::CpuSet::new();
     set.set(core % processors);
     if let Err(e) = rustix::thread::sched_setaffinity(None, &set) {
-        log::warn!(core, error:% = e; "not bound to a processor");
+        log::warn!(core, error:% = e; "can't bind the thread to a processor; it runs unbound");
     }
 }
--- a/crates/coordinator/src/cores/current.rs
+++ b/crates/coordinator/src/cores/current.rs
@@ -1,22 +1,22 @@
-//! Which core the present thread is.
+//! The core that the current thread belongs to.
 
 use std::cell::Cell;
 
 thread_local! {
-    static CURRENT: Cell<Option<usize>> = const { Cell::new(None) };
+    static CURRENT_CORE: Cell<Option<usize>> = const { Cell::new(None) };
 }
 
-/// The core whose thread this is; 0 if there is only one core.
+/// The number of the current thread's core; 0 on a thread of no core or if there is only one core.
 pub fn current_core() -> usize {
-    CURRENT.get().unwrap_or(0)
+    CURRENT_CORE.get().unwrap_or(0)
 }
 
-/// The core whose thread this is; `None` if there is only one core.
+/// The number of the current thread's core; `None` on a thread of no core or if there is only one core.
 pub fn current_core_of_several() -> Option<usize> {
-    CURRENT.get()
+    CURRENT_CORE.get()
 }
 
-/// Makes this thread the one of a core.
+/// Records that the current thread belongs to `core`.
 pub(super) fn set_current_core(core: usize) {
-    CURRENT.set(Some(core));
+    CURRENT_CORE.set(Some(core));
 }
--- a/crates/coordinator/src/cores/list_distributor.rs
+++ b/crates/coordinator/src/cores/list_distributor.rs
@@ -1,5 +1,5 @@
-//! Gives updates of the host list to all cores: it closes the drain gates first, then sends the update, then its
-//! version, which each core acknowledges.
+//! Distributes updates of the host list to all cores: it first closes the drain gates, then sends the update, then the
+//! update's version, which each core acknowledges.
 
 use crate::config::Config;
 use crate::core::{CoreMessage, Endpoint};
@@ -13,27 +13,27 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::MissedTickBehavior;
 
-/// Gates close so long before the drain's grace ends, as the frame still has to be written.
-const GATE_MARGIN: Duration = Duration::from_millis(50);
-/// The gates of hosts that have been closed for so long are forgotten.
+/// How long before the end of the drain grace a gate closes: a frame that it let through still has to be written.
+const GATE_CLOSE_MARGIN: Duration = Duration::from_millis(50);
+/// How long a closed gate is kept before it is removed.
 const GATE_RETENTION: Duration = Duration::from_secs(60);
-/// A core that has not acknowledged a version of the list after this is logged.
+/// Time after an update past which a core that has not acknowledged it is logged; also the interval of the acknowledge_check.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Gives updates of the host list to all cores.
+/// The task that distributes updates of the host list to all cores.
 pub(super) struct ListDistributor {
     pub(super) gates: Arc<DrainGates>,
     /// The cores' mailboxes.
     pub(super) cores: Vec<mpsc::UnboundedSender<CoreMessage>>,
-    /// The origin of the gates' times.
+    /// The instant that the gates' times are relative to.
     pub(super) origin: Instant,
-    /// How long a draining host may still be sent to.
+    /// How long requests may still be sent to a draining host.
     pub(super) drain_grace: Duration,
     pub(super) counters: Counters,
 }
 
 impl ListDistributor {
-    /// Follows the list's source and the requests to the overlay until the source has ended.
+    /// Handles the updates of the list's source and the requests to the overlay until the source has ended.
     pub(super) async fn run(
         self,
         config: Config,
@@ -46,12 +46,12 @@
         let known = overlay.ejections.apply_update(ListKind::Cached, known);
         self.publish(ListKind::Cached, known);
         start_list_source(config, updates, &self.counters, discovery_moves);
-        let mut check = tokio::time::interval(ACKNOWLEDGE_TIMEOUT);
-        check.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut acknowledge_check = tokio::time::interval(ACKNOWLEDGE_TIMEOUT);
+        acknowledge_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut published_at = Instant::now();
         loop {
             tokio::select! {
-                mail = inbox.recv() => match mail {
+                message = inbox.recv() => match message {
                     Some(CoreMessage::HostList(kind, endpoints)) => {
                         self.publish(kind, overlay.ejections.apply_update(kind, endpoints));
                         published_at = Instant::now();
@@ -60,14 +60,14 @@
                     None => return,
                 },
                 Some(request) = next_request(&mut requests) => overlay.handle(request, &self),
-                _ = check.tick() => if published_at.elapsed() >= ACKNOWLEDGE_TIMEOUT {
+                _ = acknowledge_check.tick() => if published_at.elapsed() >= ACKNOWLEDGE_TIMEOUT {
                     self.log_slow_cores();
                 },
             }
         }
     }
 
-    /// Counts and logs cores that have left a version unread. Their gates hold all the same.
+    /// Counts and logs the live cores that have not acknowledged the latest version. Their gates are closed even so.
     fn log_slow_cores(&self) {
         let version = self.gates.revision();
         for (core, mailbox) in self.cores.iter().enumerate() {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The next request to the overlay; none ever comes without an operator's address.
+/// The next request to the overlay; pending without end if there is no operator's address.
 async fn next_request(
     requests: &mut Option<mpsc::Receiver<OverlayRequest>>,
 ) -> Option<OverlayRequest> {
@@ -93,7 +93,7 @@
 impl ListSink for ListDistributor {
     fn publish(&self, kind: ListKind, endpoints: Vec<Endpoint>) {
         let now = self.origin.elapsed();
-        let stop_at = (now + self.drain_grace).saturating_sub(GATE_MARGIN);
+        let stop_at = (now + self.drain_grace).saturating_sub(GATE_CLOSE_MARGIN);
         let is_complete = matches!(kind, ListKind::Full | ListKind::Cached);
         let ready = endpoints
             .iter()
@@ -104,7 +104,7 @@
         let forget_before = now.saturating_sub(GATE_RETENTION);
         self.gates.prune(forget_before.as_micros() as u64);
         for core in &self.cores {
-            // A core that has ended needs no update.
+            // Sending fails only if the core has ended; it then needs no update.
             let _ = core.send(CoreMessage::HostList(kind, endpoints.clone()));
             let _ = core.send(CoreMessage::ListVersion(version));
         }
--- a/crates/coordinator/src/cores/mod.rs
+++ b/crates/coordinator/src/cores/mod.rs
@@ -1,15 +1,15 @@
-//! Several cores in one process: a thread with a current-thread runtime for each, with its own decision module,
-//! table, connections to hosts and clients. The state that all cores share is in [`multi_core`].
-//! `docs/design/several-cores.md` says why it is divided this way.
+//! Several cores in one process. Each core is a thread with a current-thread runtime, its own decision module, query
+//! table, host connections and clients. The state that all cores share is in [`multi_core`].
+//! `docs/design/several-cores.md` gives the design reasons.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `current` | which core the present thread is |
-//! | `shared_state` | what a core's table shares with the other cores |
+//! | `current` | the core that the current thread belongs to |
+//! | `shared_state` | the state that a core's query table shares with the other cores |
 //! | `supervisor` | starts the cores' threads and waits for their end |
 //! | `core_thread` | the work of one core's thread |
-//! | `acceptor` | accepts connections and gives them to cores |
-//! | `list_distributor` | gives updates of the host list to all cores |
+//! | `acceptor` | accepts connections and assigns them to cores |
+//! | `list_distributor` | sends updates of the host list to all cores |
 
 mod acceptor;
 mod core_thread;
--- a/crates/coordinator/src/cores/supervisor.rs
+++ b/crates/coordinator/src/cores/supervisor.rs
@@ -1,6 +1,6 @@
-//! Starts the cores' threads and waits for their end. The present thread accepts connections, follows the host
-//! list and handles signals. A core that ends or panics takes its own connections along; the others serve on. The
-//! process ends with an error once none is left.
+//! Starts the cores' threads and waits for their end. The current thread accepts connections, distributes the host
+//! list and handles signals. If a core ends or panics, its own connections are closed and the other cores continue to
+//! serve. The process ends with an error once no core is left.
 
 use super::acceptor::Acceptor;
 use super::core_thread::{CoreThread, EndGuard};
@@ -27,10 +27,10 @@
 
 type CoreJoinHandle = JoinHandle<std::io::Result<()>>;
 
-/// Serves with several cores until told to stop.
+/// Serves with several cores until `stop` turns true.
 ///
 /// # Errors
-/// If a thread or runtime can't be had, or the last core has ended without being told to.
+/// If a thread can't be started, or all cores have ended before the stop.
 pub(crate) async fn run(service: ServiceParts, cores: CoresConfig) -> std::io::Result<()> {
     let ServiceParts {
         config,
@@ -40,7 +40,7 @@
         discovery_moves,
         operations,
     } = service;
-    let (readiness, overlay, requests) = split(operations);
+    let (readiness, overlay, requests) = split_operations(operations);
     log::info!(cores = cores.count, pinned = cores.pin; "{}", config.summary());
     let (state, inboxes) = SupervisorState::new(&config, cores);
     let dispatch = Dispatch {
@@ -92,8 +92,8 @@
     }
 }
 
-/// What the supervisor needs of the operations; an empty overlay without an operator's address.
-fn split(
+/// Splits the operations into their parts; without an operator's address the overlay is empty.
+fn split_operations(
     operations: Option<Operations>,
 ) -> (
     Option<Readiness>,
@@ -110,18 +110,18 @@
     }
 }
 
-/// What all cores share.
+/// The state that all cores share.
 struct SupervisorState {
     mailboxes: Vec<mpsc::UnboundedSender<CoreMessage>>,
     dispatcher: Arc<CoreDispatcher>,
     budget: Arc<SharedBudget>,
     names: Arc<KeyOwnership>,
     gates: Arc<DrainGates>,
-    /// The origin of the dispatcher's and the gates' times.
+    /// The instant that the times of the dispatcher and the gates are relative to.
     origin: Instant,
 }
 
-/// What each core's thread gets a copy of.
+/// The values that each core's thread gets a clone of.
 struct CoreContext<'a> {
     config: &'a Config,
     fronts: Arc<Fronts>,
@@ -131,7 +131,7 @@
     pin: bool,
 }
 
-/// The cores' threads, where each takes its connections from, and the numbers of those that have ended.
+/// The cores' threads, the sender of each core's connections, and the receiver of the numbers of ended cores.
 type StartedCores = (
     Vec<CoreJoinHandle>,
     Vec<mpsc::UnboundedSender<Handed>>,
@@ -172,7 +172,7 @@
                 config: context.config.clone(),
                 fronts: context.fronts.clone(),
                 inbox,
-                mail: self.mailboxes[core].clone(),
+                mailbox: self.mailboxes[core].clone(),
                 connections: receiver,
                 shared: self.shared_state(core),
                 dispatcher: self.dispatcher.clone(),
@@ -209,7 +209,7 @@
     }
 }
 
-/// Waits until all cores have ended.
+/// Waits until all `count` cores have ended; counts and logs each that ends before the stop.
 async fn wait_for_cores(
     count: usize,
     ended: &mut mpsc::UnboundedReceiver<usize>,
@@ -230,7 +230,7 @@
 fn join_cores(threads: Vec<CoreJoinHandle>) {
     for thread in threads {
         if let Ok(Err(e)) = thread.join() {
-            log::error!(error:% = e; "core");
+            log::error!(error:% = e; "core thread failed");
         }
     }
 }
--- a/crates/coordinator/src/serve/components.rs
+++ b/crates/coordinator/src/serve/components.rs
@@ -1,4 +1,4 @@
-//! What serving with one core and with several have in common.
+//! The parts that a service with one core and one with several cores have in common.
 
 use super::operations::Operations;
 use crate::config::{Capacity, Config, HostDialect};
@@ -18,37 +18,38 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 
-/// The platform ends the process no sooner after SIGTERM than the longest time a client waits, up to this ...
+/// Upper limit on the client timeout that a shutdown allows for. After SIGTERM the platform ends the process no sooner
+/// than the longest client timeout, up to this limit, plus [`STOP_GRACE`].
 const MAX_STOP_TIME: Duration = Duration::from_secs(3);
-/// ... and this much more. By then all requests must be answered.
+/// Additional time until the platform ends the process; by then all requests must be answered.
 const STOP_GRACE: Duration = Duration::from_millis(500);
-/// For the last of that time no new request is accepted.
+/// Length of the final part of that time, in which no new request is accepted.
 const STOP_RESERVE: Duration = Duration::from_millis(350);
 
-/// When a client that finds no capacity is asked to come back, where the settings name no longest wait.
+/// The `Retry-After` of a response for lack of capacity, if the settings have no `max_retry_after`.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a coordinator serves with.
+/// The parts that a coordinator is assembled from.
 pub(crate) struct ServiceParts {
     pub(crate) config: Config,
     /// The clients' listening socket.
     pub(crate) clients: Gated,
     pub(crate) counters: Counters,
-    /// Turns true when the process is to stop.
+    /// Turns true when the process must stop.
     pub(crate) stop: watch::Receiver<bool>,
-    /// New addresses of discovery.
+    /// Receives new addresses of discovery.
     pub(crate) discovery_moves: mpsc::UnboundedReceiver<String>,
     /// `None` without an operator's address.
     pub(crate) operations: Option<Operations>,
 }
 
-/// When a client that finds no capacity is asked to come back.
+/// The `Retry-After` of a response for lack of capacity.
 pub(crate) fn retry_after(config: &Config) -> Duration {
     let settings = &config.site.router;
     settings.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER)
 }
 
-fn since_epoch() -> Duration {
+fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -56,18 +57,18 @@
 
 /// The incarnation of this process in the gossip: Unix time in microseconds, larger for each later process.
 pub(crate) fn incarnation() -> u64 {
-    since_epoch().as_micros() as u64
+    unix_time().as_micros() as u64
 }
 
-/// All fronts over the way to the core.
+/// The client APIs, all of which send their queries to `core`.
 pub(crate) fn fronts(
     config: &Config,
     core: CoreHandle,
     counters: &Counters,
     readiness: Option<Readiness>,
 ) -> Fronts {
-    // New with each start: ids that clients hold from an earlier one must not be taken for this one's.
-    let incarnation = since_epoch().as_nanos() as u64 ^ config.seed;
+    // Differs at each start, so that ids issued by an earlier process are not mistaken for this one's.
+    let incarnation = unix_time().as_nanos() as u64 ^ config.seed;
     let opensearch = config.operator.opensearch.as_ref().map(|opensearch| {
         OpenSearch::new(
             opensearch,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The protocol that hosts are spoken to in.
+/// The protocol for connections to hosts.
 pub(crate) fn dialect(config: &Config) -> Arc<dyn Dialect> {
     match config.operator.hosts {
         HostDialect::Frames => Arc::new(Frames),
@@ -91,15 +92,15 @@
     }
 }
 
-/// The limits of a server of clients with this capacity.
-pub(crate) fn limits(
+/// The limits of the HTTP server for clients, within this capacity.
+pub(crate) fn server_limits(
     config: &Config,
     capacity: Capacity,
     restart_role: watch::Receiver<RestartRole>,
 ) -> Limits {
     let classes = &config.site.router.classes;
-    let longest = classes.iter().map(|class| class.client_timeout).max();
-    let answer_within = longest.unwrap_or_default().min(MAX_STOP_TIME) + STOP_GRACE;
+    let longest_timeout = classes.iter().map(|class| class.client_timeout).max();
+    let answer_within = longest_timeout.unwrap_or_default().min(MAX_STOP_TIME) + STOP_GRACE;
     Limits {
         max_clients: capacity.clients,
         max_connections: capacity.clients + capacity.rejected_clients,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Starts the actor of the host list. Its updates go to `core`.
+/// Starts the configured source of the host list (DNS-SD or discovery), if any. Its updates go to `core`.
 pub(crate) fn start_list_source(
     config: Config,
     core: mpsc::UnboundedSender<CoreMessage>,
--- a/crates/coordinator/src/serve/listeners.rs
+++ b/crates/coordinator/src/serve/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of a coordinator, bound here or taken over from an old process.
+//! The listening sockets of a coordinator, bound by this process or taken over from an old one.
 
 use crate::config::Config;
 use crate::ops::hot_restart::{self, TakenOverState};
@@ -6,30 +6,30 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, UnixStream};
 
-/// Limit on the connections that wait to be accepted.
+/// Limit on the connections that wait to be accepted, for a socket that is bound here.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// The listening sockets of a coordinator.
 pub struct Listeners {
-    /// For clients.
+    /// The socket for clients.
     pub clients: TcpListener,
-    /// For the operators, where an address is configured.
+    /// The socket for operators, if an operator's address is configured.
     pub operator: Option<std::net::TcpListener>,
-    /// What came with the clients' socket, where it was taken over from an old process.
+    /// The state received with the clients' socket, if it was taken over from an old process.
     pub taken_over: Option<TakenOver>,
 }
 
-/// What was taken over from an old process beside the socket.
+/// The state taken over from an old process together with the clients' socket.
 pub struct TakenOver {
-    /// The host list and the manual ejections.
+    /// The host list and its manual ejections.
     pub ejections: ManualEjections,
     /// The link to the old process.
     pub link: UnixStream,
 }
 
 impl Listeners {
-    /// Binds the sockets that the configuration names. With an operator's address the clients' socket is taken over
-    /// from a running process of this coordinator, if there is one.
+    /// Binds the configured addresses. With an operator's address, the clients' socket is taken over from a running
+    /// process of this coordinator, if there is one.
     ///
     /// # Errors
     /// If an address can't be bound.
@@ -52,12 +52,15 @@
 fn bind_operator(address: &str) -> std::io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|e| std::io::Error::new(e.kind(), format!("operator's address {address}: {e}")))?;
-    log::info!("operator's address on {}", listener.local_addr()?);
+    log::info!(
+        "operator's address: listening on {}",
+        listener.local_addr()?
+    );
     Ok(listener)
 }
 
-/// The clients' socket of a running process of this coordinator, with its state; or else a socket of our own, beside
-/// which another process can listen.
+/// Takes over the clients' socket and state of a running process of this coordinator. Without one, binds a socket with
+/// `SO_REUSEPORT`, so that another process can bind the address too.
 async fn take_over_or_bind(config: &Config) -> std::io::Result<(TcpListener, Option<TakenOver>)> {
     if let Some(path) = hot_restart::socket_path(&config.name).filter(|path| path.exists()) {
         match hot_restart::take_over(&path, &config.name, &config.listen).await {
@@ -85,7 +88,7 @@
     Err(last_error)
 }
 
-/// Binds an address that other processes can bind too.
+/// Binds an address with `SO_REUSEPORT`, so that other processes can bind it too.
 fn bind_shared(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
--- a/crates/coordinator/src/serve/mod.rs
+++ b/crates/coordinator/src/serve/mod.rs
@@ -1,12 +1,12 @@
-//! The coordinator as a process: all actors put together, from start to SIGTERM.
+//! The coordinator process: starts all actors and runs them until SIGTERM.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `signals` | SIGTERM and SIGINT end the process, SIGHUP reads the configuration again |
+//! | `signals` | SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration |
 //! | `listeners` | binds the listening sockets, or takes them over from an old process |
-//! | `operations` | the admin server, the list overlay and hot restart, where they are configured |
-//! | `components` | what serving with one core and with several have in common |
-//! | `single_core` | serving with one core; [`cores`] has the other |
+//! | `operations` | the admin server, the list overlay and hot restart, if an operator's address is configured |
+//! | `components` | the parts that a single core and several cores have in common |
+//! | `single_core` | a service with one core; [`cores`] has the one with several |
 
 pub(crate) mod components;
 mod listeners;
@@ -23,17 +23,17 @@
 use crate::ops::hot_restart::RestartRole;
 use tokio::sync::{mpsc, watch};
 
-/// Serves until SIGTERM or SIGINT, and then until all requests that were accepted are answered. SIGHUP reads the
-/// configuration again and follows its `discovery`; all other changes need a restart.
+/// Serves until SIGTERM or SIGINT, and then until all accepted requests are answered. SIGHUP reloads the configuration
+/// and applies a changed `discovery` address; all other changes need a restart.
 ///
 /// # Errors
-/// If the runtime, a signal handler or a listening socket can't be had, or if the core has ended.
+/// If the runtime, a signal handler or a listening socket can't be created, or if the core has ended.
 pub fn run(config: Config, source: Source) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let (stop, discovery_moves) = signals::handle(source)?;
+        let (stop, discovery_moves) = signals::install_handlers(source)?;
         let listeners = Listeners::open(&config).await?;
         let counters = Counters::striped(config.operator.cores.map_or(1, |c| c.count));
         serve(config, listeners, counters.clone(), stop, discovery_moves).await?;
@@ -42,11 +42,11 @@
     })
 }
 
-/// Serves until told to stop. `discovery_moves` brings new addresses of discovery.
+/// Serves until `stop` turns true. `discovery_moves` receives new addresses of discovery.
 ///
 /// # Errors
-/// If the core itself has ended. Without it every query would be lost, so the process must end and be started
-/// again. Also if a thread or socket can't be had at the start.
+/// If the core itself has ended: without it every query would be lost, so the process must be restarted. Also if a
+/// thread or socket can't be created at the start.
 pub async fn serve(
     mut config: Config,
     listeners: Listeners,
@@ -60,14 +60,14 @@
     } else {
         RestartRole::Alone
     };
-    let (show_role, restart_role) = watch::channel(role);
+    let (role_sender, restart_role) = watch::channel(role);
     let clients = Gated {
         restart_role: restart_role.clone(),
         listener: listeners.clients,
     };
     let mut operations = None;
     if let Some(operator) = listeners.operator {
-        let roles = (show_role, restart_role);
+        let roles = (role_sender, restart_role);
         let parts = operations::start(
             &mut config,
             operator,
--- a/crates/coordinator/src/serve/operations.rs
+++ b/crates/coordinator/src/serve/operations.rs
@@ -1,4 +1,4 @@
-//! What is there only with an operator's address: the admin server, the overlay of manual ejections and hot restart.
+//! The parts that need an operator's address: the admin server, the overlay of manual ejections and hot restart.
 
 use super::listeners::TakenOver;
 use crate::config::Config;
@@ -12,21 +12,21 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Limit on the requests that wait for the overlay; one order more is refused.
+/// Limit on the requests queued for the overlay's actor; further orders are refused.
 const MAX_QUEUED_REQUESTS: usize = 64;
 
-/// What the cores and the overlay's actor need of it.
+/// The state that the cores and the overlay's actor need.
 pub(crate) struct Operations {
-    /// Whether this process can serve.
+    /// The readiness of this process.
     pub(crate) readiness: Readiness,
-    /// The manual ejections.
+    /// The manual ejections, with those taken over from an old process.
     pub(crate) overlay: ListOverlay,
     /// The requests to the overlay's actor.
     pub(crate) requests: mpsc::Receiver<OverlayRequest>,
 }
 
-/// Starts the admin server and the part in hot restarts. The host list of an old process becomes the one that the
-/// configuration knows.
+/// Starts the admin server and the task for hot restarts. A host list taken over from an old process replaces the one
+/// in the configuration.
 ///
 /// # Errors
 /// If a thread can't be started, or the clients' socket can't be duplicated.
@@ -35,7 +35,7 @@
     operator: std::net::TcpListener,
     taken_over: Option<TakenOver>,
     clients: &TcpListener,
-    (show_role, restart_role): (watch::Sender<RestartRole>, watch::Receiver<RestartRole>),
+    (role_sender, restart_role): (watch::Sender<RestartRole>, watch::Receiver<RestartRole>),
     counters: &Counters,
     stop: &watch::Receiver<bool>,
 ) -> std::io::Result<Operations> {
@@ -56,7 +56,7 @@
             listen: config.listen.clone(),
             listener: std::net::TcpListener::from(clients.as_fd().try_clone_to_owned()?),
             overlay,
-            role: show_role,
+            role: role_sender,
         };
         tokio::spawn(hot_restart.run(link));
     }
--- a/crates/coordinator/src/serve/single_core.rs
+++ b/crates/coordinator/src/serve/single_core.rs
@@ -1,7 +1,7 @@
-//! Serving with one core: all actors on one thread.
+//! The service with one core: all actors run on one thread.
 
 use super::components::{
-    dialect, fronts, incarnation, limits, retry_after, start_list_source, ServiceParts,
+    dialect, fronts, incarnation, retry_after, server_limits, start_list_source, ServiceParts,
 };
 use crate::config::Config;
 use crate::core::{self, Clock, CoreHandle, CoreMessage, Dispatch, QueryTable};
@@ -17,10 +17,10 @@
 use std::time::Instant;
 use tokio::sync::mpsc;
 
-/// Limit on the load updates that wait for the socket; one more is dropped.
+/// Limit on the load updates queued for the gossip socket; further ones are dropped.
 const MAX_QUEUED_UPDATES: usize = 8;
 
-/// Serves until told to stop.
+/// Serves until `stop` turns true.
 ///
 /// # Errors
 /// If the core has ended.
@@ -34,24 +34,24 @@
         operations,
     } = service;
     log::info!("{}", config.summary());
-    let (mail, inbox) = mpsc::unbounded_channel();
+    let (mailbox, inbox) = mpsc::unbounded_channel();
     let origin = Instant::now();
     let dispatcher = CoreDispatcher::new(1, config.site.limits.max_open);
     let dispatch = Dispatch { dispatcher, origin };
     let core = CoreHandle::new(
-        vec![mail.clone()],
+        vec![mailbox.clone()],
         dispatch.clone(),
         retry_after(&config),
         counters.clone(),
     );
     let mut readiness = operations.as_ref().map(|o| o.readiness.clone());
     let fronts = fronts(&config, core, &counters, readiness.clone());
-    let limits = limits(&config, config.capacity, clients.restart_role.clone());
+    let limits = server_limits(&config, config.capacity, clients.restart_role.clone());
     let hosts = HostConnections::new(HostConnectionsSetup {
         dialect: dialect(&config),
         caps: config.site.limits.clone(),
         max_connections: config.capacity.host_connections,
-        core: mail.clone(),
+        core: mailbox.clone(),
         counters: counters.clone(),
         gates: None,
         restart_role: clients.restart_role.clone(),
@@ -64,15 +64,15 @@
         config.capacity.response_bytes,
         counters.clone(),
     );
-    let table = with_gossip(table, &config, &mail, &counters);
-    let mut list_updates = mail.clone();
+    let table = with_gossip(table, &config, &mailbox, &counters);
+    let mut list_updates = mailbox.clone();
     if let Some(operations) = operations {
         let (updates, inbox) = mpsc::unbounded_channel();
-        let actor = list_overlay::run(operations.overlay, inbox, operations.requests, mail);
+        let actor = list_overlay::run(operations.overlay, inbox, operations.requests, mailbox);
         tokio::spawn(actor);
         list_updates = updates;
     }
-    // The list as last known comes first, so that the first query finds hosts.
+    // The last known list is sent before any query, so that the first query finds hosts.
     let known = config.known_list.members.clone();
     let _ = list_updates.send(CoreMessage::HostList(ListKind::Cached, known));
     let core_task = tokio::spawn(core::run(table, inbox, 0, dispatch));
@@ -86,7 +86,7 @@
     }
 }
 
-/// The table in gossip with its peers, where that is configured. Starts the actor of the datagrams.
+/// Connects the table to the gossip with peers and starts the gossip socket's actor, if gossip is configured.
 fn with_gossip(
     table: QueryTable<HostConnections>,
     config: &Config,
