--- a/crates/coordinator/src/config/capacity.rs
+++ b/crates/coordinator/src/config/capacity.rs
@@ -1,28 +1,28 @@
-//! How the limits on descriptors and memory are divided.
+//! Division of the limits on descriptors and memory between clients and hosts.
 
 use super::error::ConfigError;
 use serde::Deserialize;
 
-/// Fewest descriptors that the program can serve with.
+/// Minimum number of descriptors that the program can serve with.
 const MIN_SOCKETS: usize = 128;
-/// Least memory that the program can serve with, in MB.
+/// Minimum memory that the program can serve with, in MB.
 const MIN_MEMORY_MB: usize = 24;
-/// No machine has more descriptors or MB; sums of the limits must not overflow.
+/// Maximum of either limit: more than any machine has, and small enough that sums of the limits don't overflow.
 const MAX_LIMIT: usize = 1 << 24;
-/// Descriptors where the configuration names no limit.
+/// Default limit on descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory where the configuration names no limit, in MB.
+/// Default limit on memory, in MB.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Descriptors set aside for the listener, the list, the runtime and the standard streams.
+/// Descriptors reserved for the listener, the list's source, the runtime and the standard streams.
 const RESERVED_SOCKETS: usize = 16;
-/// Descriptors set aside for the operator's address: its callers, its listener and its runtime.
+/// Descriptors reserved for the operator's address: its callers, its listener and its runtime.
 const RESERVED_OPERATOR_SOCKETS: usize = 32;
-/// Memory set aside for the program itself, its connections to hosts and their values, in MB.
+/// Memory reserved for the program itself, its connections to hosts and their values, in MB.
 const RESERVED_MEMORY_MB: usize = 12;
-/// Memory that a client may come to hold, with its ring buffers, a body and its answer, in KB.
+/// Maximum memory of a client, with its ring buffers, a request body and the response, in KB.
 const CLIENT_MEMORY_KB: usize = 112;
 
-/// The limits of the process, as the platform's file has them.
+/// The limits of the process in the platform's file.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct RawLimits {
@@ -30,22 +30,25 @@
     sockets: Option<usize>,
 }
 
-/// How many of each thing the process may hold.
+/// The maximum numbers of connections and bytes that the process may hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Clients served at once.
+    /// Maximum number of clients that are served at once.
     pub clients: usize,
-    /// Clients beyond those that still get an answer, which says that there are too many.
+    /// Maximum number of further clients, which get a response that there are too many clients.
     pub rejected_clients: usize,
-    /// Connections to hosts at once.
+    /// Maximum number of open connections to hosts.
     pub host_connections: usize,
-    /// Bytes of hosts' values held for open queries.
+    /// Maximum size of the hosts' values held for open queries, in bytes.
     pub response_bytes: usize,
 }
 
 impl Capacity {
-    /// Divides the limits. Clients get five eighths of the descriptors at most, as far as the memory allows. Hosts get
-    /// the rest, so that clients can't keep the program from them.
+    /// Divides the limits. Clients get at most five eighths of the descriptors, and fewer if the memory is too small.
+    /// Descriptors for hosts are set apart, so that clients can't use them up.
+    ///
+    /// # Errors
+    /// [`ConfigError::Value`] if a limit is out of its range.
     pub(super) fn new(limits: &RawLimits, has_operator: bool) -> Result<Self, ConfigError> {
         let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         let memory_mb = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
@@ -72,7 +75,7 @@
         })
     }
 
-    /// What one of several cores has of it.
+    /// The capacity of one of `cores` cores: an equal share of each limit, rounded down.
     pub fn per_core(&self, cores: usize) -> Self {
         let cores = cores.max(1);
         Self {
--- a/crates/coordinator/src/config/error.rs
+++ b/crates/coordinator/src/config/error.rs
@@ -1,38 +1,38 @@
-//! What is wrong with the configuration.
+//! The errors of a configuration.
 
 use crate::core::settings::SettingsError;
 use std::path::PathBuf;
 
-/// What is wrong with the configuration. Each message names the key or the file.
+/// An error of the configuration. Each message names the key or the file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A key is missing that has no default.
+    /// A key without a default is missing.
     #[error("'{0}' is missing")]
     Missing(&'static str),
     /// A file can't be read.
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
-    /// A file is not of the form that it should have.
+    /// A file can't be parsed.
     #[error("{0}: {1}")]
     Syntax(PathBuf, SyntaxError),
-    /// A key has a value that it can't have.
+    /// The value of a key is invalid.
     #[error("'{0}' can't be '{1}'")]
     Value(&'static str, String),
-    /// The settings contradict each other.
+    /// The settings are invalid or contradict each other.
     #[error("'settings': {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Why a file is not of the form that it should have.
+/// The reason why a file can't be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum SyntaxError {
-    /// It is not JSON, or has a key of another type.
+    /// It is not JSON, or a value is of the wrong type.
     #[error("{0}")]
     Json(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// Something follows the JSON document.
     #[error("{0}")]
     TrailingJson(#[from] serde_json::Error),
-    /// It is not TOML, or has a key that is not known or of another type.
+    /// It is not TOML, has an unknown key, or a value is of the wrong type.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
 }
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -1,11 +1,11 @@
-//! The configuration: read, checked and given its defaults here and nowhere else.
+//! The configuration. It is read, checked and given its defaults in this module only.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `capacity` | divides the limits on descriptors and memory |
-//! | `error` | what is wrong with a configuration |
-//! | `operator` | the operator's file |
-//! | `parse` | single values |
+//! | `error` | the errors of a configuration |
+//! | `operator` | the operator's TOML file |
+//! | `parse` | parsers of single values |
 
 mod capacity;
 mod error;
@@ -26,12 +26,12 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// Fewest connections to hosts, and slots for clients, that a core can work with.
+/// Minimum number of host connections, and of clients, that each of several cores needs.
 const MIN_CONNECTIONS_PER_CORE: usize = 8;
-/// The name of a coordinator that has none in its configuration.
+/// The name of a coordinator whose configuration has none.
 const DEFAULT_NAME: &str = "coordinator";
 
-/// The platform's file.
+/// The platform's JSON file, before its checks.
 #[derive(Deserialize)]
 struct RawConfig {
     name: Option<String>,
@@ -48,42 +48,43 @@
     settings: serde_json::Value,
 }
 
-/// The whole configuration.
+/// The checked configuration from the platform's file, the operator's file and the environment.
 #[derive(Clone)]
 pub struct Config {
     /// This coordinator's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients, as `host:port`.
     pub listen: String,
-    /// Where the operators connect; `None` where there is no such address.
+    /// The address for operators, as `host:port`, if there is one.
     pub operator_address: Option<String>,
-    /// Where discovery answers; `None` where an operator's file names another source.
+    /// The address of discovery, as `host:port`, if there is one. A DNS-SD source in the operator's file takes
+    /// precedence.
     pub discovery: Option<String>,
-    /// The seed of all random choices.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How many connections and bytes the process may hold.
+    /// The limits on connections and bytes.
     pub capacity: Capacity,
-    /// The host list as last known.
+    /// The last known host list, for the time until a source sends one.
     pub known_list: ListUpdate,
-    /// The settings.
+    /// The settings of the site: its classes, tenants, safety rules and limits.
     pub site: SiteSettings,
     /// The addresses of the peers; `None` if the settings allow no gossip or an address is missing.
     pub peer_addresses: Option<PeerAddresses>,
-    /// The operator's file; empty on the platform.
+    /// The operator's file; the defaults if there is none.
     pub operator: OperatorConfig,
 }
 
 /// Where the configuration is read from.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    /// The platform's file; else `PROXY_CONFIG` names it.
+    /// The platform's file; if `None`, the environment variable `PROXY_CONFIG` names it.
     pub file: Option<PathBuf>,
-    /// The operator's file, if there is one.
+    /// The operator's file, if any.
     pub operator: Option<PathBuf>,
 }
 
 impl Source {
-    /// Reads the configuration at the start.
+    /// Reads the configuration at the start of the process.
     ///
     /// # Errors
     /// See [`ConfigError`].
@@ -91,8 +92,8 @@
         self.read(|name| std::env::var(name).ok())
     }
 
-    /// Reads the configuration again, with the same checks. The environment is as old as the process, so the file
-    /// alone says where discovery is now.
+    /// Reads the configuration again, with the same checks. `PROXY_DISCOVERY` is ignored: the environment is as old as
+    /// the process, so only the file has the current address of discovery.
     ///
     /// # Errors
     /// See [`ConfigError`].
@@ -110,8 +111,8 @@
 }
 
 impl Config {
-    /// Reads the platform's configuration: the file that `PROXY_CONFIG` or the caller names, and the environment,
-    /// which goes before it.
+    /// Reads the platform's configuration: the given file, or the one that `PROXY_CONFIG` names, and the environment,
+    /// which takes precedence over the file.
     ///
     /// # Errors
     /// See [`ConfigError`].
@@ -136,7 +137,7 @@
         })
     }
 
-    /// Reads a configuration from its text. Errors of syntax name no file.
+    /// Reads a configuration from its JSON text. Syntax errors have an empty path.
     ///
     /// # Errors
     /// See [`ConfigError`].
@@ -190,7 +191,7 @@
         })
     }
 
-    /// What the configuration comes to, on one line of the log.
+    /// A summary of the configuration in one line, for the log and `check-config`.
     pub fn summary(&self) -> String {
         let Self {
             name,
@@ -208,7 +209,7 @@
             site.classes
                 .iter()
                 .zip(&site.router.classes)
-                .map(|(n, c)| format!("{n}:{:?}/{:?}", c.latency_target, c.client_timeout))
+                .map(|(name, class)| format!("{name}:{:?}/{:?}", class.latency_target, class.client_timeout))
                 .collect::<Vec<_>>()
                 .join(","),
             capacity.clients,
@@ -220,7 +221,7 @@
     }
 }
 
-/// The list as last known; empty where the configuration has none.
+/// Parses the last known list; empty and of revision 0 if the configuration has none.
 fn known_list(raw: Option<serde_json::Value>) -> Result<ListUpdate, ConfigError> {
     let Some(raw) = raw else {
         return Ok(ListUpdate {
@@ -232,17 +233,19 @@
     parse_update(raw.to_string().as_bytes()).map_err(|e| ConfigError::Value("known", e.to_string()))
 }
 
-/// Several cores need some connections each.
+/// Checks that each of several cores gets at least [`MIN_CONNECTIONS_PER_CORE`].
 fn check_capacity_per_core(
     operator: &OperatorConfig,
     capacity: &Capacity,
 ) -> Result<(), ConfigError> {
     let cores = operator.cores.map_or(1, |cores| cores.count);
-    let each = capacity.per_core(cores);
-    if cores > 1 && each.host_connections.min(each.clients) < MIN_CONNECTIONS_PER_CORE {
+    let core_capacity = capacity.per_core(cores);
+    if cores > 1
+        && core_capacity.host_connections.min(core_capacity.clients) < MIN_CONNECTIONS_PER_CORE
+    {
         return Err(ConfigError::Value(
             "cores.count",
-            format!("{cores} with so few descriptors or so little memory"),
+            format!("{cores}: too few descriptors or too little memory for each core"),
         ));
     }
     Ok(())
--- a/crates/coordinator/src/config/operator.rs
+++ b/crates/coordinator/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what the platform does not configure.
+//! The operator's TOML file, with the settings that the platform's file does not have.
 
 use super::error::{ConfigError, SyntaxError};
 use super::parse::address;
@@ -9,107 +9,108 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Limit on the cores of one process.
+/// Maximum number of cores of one process.
 const MAX_CORES: usize = 64;
 
-/// An operator's file: what the platform does not configure.
+/// The contents of an operator's file.
 #[derive(Deserialize, Default, Debug, Clone)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// How hosts are spoken to.
+    /// The protocol for connections to hosts.
     pub hosts: HostDialect,
-    /// The OpenSearch-style front, if it is to be on.
+    /// The OpenSearch-style API; off if `None`.
     pub opensearch: Option<OpenSearchConfig>,
-    /// DNS-SD as the source of the host list, in place of discovery.
+    /// DNS-SD as the source of the host list, instead of discovery.
     pub dns_sd: Option<DnsSdConfig>,
-    /// Several cores in one process.
+    /// The cores of the process; one core if `None`.
     pub cores: Option<CoresConfig>,
 }
 
-/// Several cores in one process.
+/// The cores of the process.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CoresConfig {
-    /// How many; 1 is the same as none of this.
+    /// The number of cores, 1 to 64; 1 is the same as no `[cores]` section.
     pub count: usize,
-    /// Whether each is bound to a processor, where the system lets it.
+    /// Whether each core's thread is bound to a processor, if the system allows it.
     #[serde(default)]
     pub pin: bool,
 }
 
-/// How hosts are spoken to.
+/// The protocol for connections to hosts.
 #[derive(Deserialize, Default, Debug, Clone, Copy, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum HostDialect {
-    /// In frames, as on the platform.
+    /// The platform's frame protocol.
     #[default]
     Frames,
-    /// In OpenSearch's API.
+    /// OpenSearch's HTTP API.
     OpenSearch,
 }
 
-/// The OpenSearch-style front.
+/// The settings of the OpenSearch-style API.
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 pub struct OpenSearchConfig {
-    /// Scroll contexts at once.
-    #[serde(default = "scroll_contexts")]
+    /// Maximum number of open scroll contexts.
+    #[serde(default = "default_scroll_contexts")]
     pub scroll_contexts: usize,
-    /// The indices.
+    /// The indices that can be searched.
     pub index: Vec<IndexConfig>,
 }
 
-fn scroll_contexts() -> usize {
+fn default_scroll_contexts() -> usize {
     32
 }
 
-/// One index.
+/// The settings of one index.
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 pub struct IndexConfig {
-    /// Its name in paths.
+    /// The index's name in request paths.
     pub name: String,
-    /// The class of its queries, by its name in the settings.
+    /// The name of its queries' class, one of those in the settings.
     pub class: String,
-    /// Whose queries these are where no header says so.
+    /// The tenant of queries whose headers name none.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// A header that names the tenant.
+    /// The request header that names the tenant.
     #[serde(default)]
     pub tenant_header: Option<String>,
-    /// The header with the key by which hosts drop repeats; needed in a class that has one.
+    /// The request header with the idempotency key, by which hosts drop repeated requests. Required unless the class is
+    /// idempotent.
     #[serde(default)]
     pub key_header: Option<String>,
-    /// The field that names a document's district.
-    #[serde(default = "district_field")]
+    /// The document field with the name of the district.
+    #[serde(default = "default_district_field")]
     pub district_field: String,
-    /// The field with its place.
-    #[serde(default = "location_field")]
+    /// The document field with the location.
+    #[serde(default = "default_location_field")]
     pub location_field: String,
-    /// The districts' names and shards.
+    /// The shard of each district, by the district's name.
     pub districts: BTreeMap<String, u32>,
 }
 
-fn district_field() -> String {
+fn default_district_field() -> String {
     "district".into()
 }
 
-fn location_field() -> String {
+fn default_location_field() -> String {
     "location".into()
 }
 
-/// DNS-SD as a source of the host list.
+/// The settings of DNS-SD as the source of the host list.
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 pub struct DnsSdConfig {
-    /// Who is asked, by UDP.
+    /// The address of the DNS server that is queried over UDP, as `host:port`.
     pub responder: String,
-    /// The service that hosts are instances of, such as `_district._tcp.taxi.local`.
-    #[serde(deserialize_with = "dns_name")]
+    /// The service whose instances are the hosts, such as `_district._tcp.taxi.local`.
+    #[serde(deserialize_with = "deserialize_dns_name")]
     pub service: Name,
 }
 
-fn dns_name<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Name, D::Error> {
+fn deserialize_dns_name<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Name, D::Error> {
     let text = String::deserialize(d)?;
     let mut name = Name::from_utf8(&text).map_err(serde::de::Error::custom)?;
     name.set_fqdn(true);
@@ -120,7 +121,7 @@
     /// Reads an operator's file.
     ///
     /// # Errors
-    /// If the file can't be read or is not of the form that it should have.
+    /// [`ConfigError::File`] if the file can't be read, [`ConfigError::Syntax`] if it can't be parsed.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text =
             std::fs::read_to_string(path).map_err(|e| ConfigError::File(path.to_owned(), e))?;
@@ -130,15 +131,15 @@
     /// Reads an operator's file from its text.
     ///
     /// # Errors
-    /// If the text is not TOML, or has a key that is not known or of another type.
+    /// If the text is not TOML, has an unknown key, or a value is of the wrong type.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// Checks the file against the settings that it goes with.
+    /// Checks the file against the site's settings.
     ///
     /// # Errors
-    /// [`ConfigError::Value`] or [`ConfigError::Missing`] with the first key that is wrong.
+    /// [`ConfigError::Value`] or [`ConfigError::Missing`] with the first key that is invalid or missing.
     pub fn check(&self, site: &SiteSettings) -> Result<(), ConfigError> {
         let mut names = BTreeSet::new();
         for index in self.opensearch.iter().flat_map(|o| &o.index) {
@@ -154,7 +155,7 @@
 }
 
 impl IndexConfig {
-    /// Checks an index; `names` holds those of the indices before it.
+    /// Checks an index and adds its name to `names`, which holds the names of the earlier indices.
     fn check<'a>(
         &'a self,
         site: &SiteSettings,
@@ -173,9 +174,9 @@
                 unknown.clone(),
             ));
         }
-        let is_path_piece =
+        let is_path_segment =
             !self.name.is_empty() && !self.name.starts_with('_') && !self.name.contains('/');
-        if !is_path_piece || !names.insert(&self.name) {
+        if !is_path_segment || !names.insert(&self.name) {
             return Err(ConfigError::Value(
                 "opensearch.index.name",
                 self.name.clone(),
@@ -189,7 +190,7 @@
                 format!("{:?}", self.districts),
             ));
         }
-        // Without a key a retry in such a class could take effect twice.
+        // Without an idempotency key a retry in such a class could take effect twice.
         if site.router.classes[class].idempotency != Idempotency::Idempotent
             && self.key_header.is_none()
         {
--- a/crates/coordinator/src/config/parse.rs
+++ b/crates/coordinator/src/config/parse.rs
@@ -1,16 +1,16 @@
-//! Reading single values of the configuration.
+//! Parsers of single values of the configuration.
 
 use super::error::ConfigError;
 use crate::core::settings::SiteSettings;
 use crate::net::gossip::PeerAddresses;
 use std::net::SocketAddr;
 
-/// A number in hexadecimal digits.
+/// Parses a hexadecimal number.
 pub(super) fn hex_number(key: &'static str, text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::Value(key, text.to_owned()))
 }
 
-/// A host name or an IP address, with a port.
+/// Checks a `host:port` address, whose host is a name or an IP address.
 pub(super) fn address(key: &'static str, text: String) -> Result<String, ConfigError> {
     match text.rsplit_once(':') {
         Some((host, port)) if !host.is_empty() && port.parse::<u16>().is_ok() => Ok(text),
@@ -18,13 +18,13 @@
     }
 }
 
-/// An IP address with a port.
+/// Parses an IP address with a port.
 fn socket_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Value(key, text))
 }
 
-/// The peers' addresses, where the settings allow gossip and all addresses are given. The settings' rank says
-/// which of them is this coordinator's.
+/// Parses the peers' addresses; `None` if the settings allow no gossip or an address is missing. The rank in the
+/// settings is this coordinator's position in `peers`.
 pub(super) fn peer_addresses(
     peers: Option<Vec<String>>,
     broadcast: Option<String>,
