--- a/crates/multi-core/src/core_dispatch.rs
+++ b/crates/multi-core/src/core_dispatch.rs
@@ -1,30 +1,30 @@
-//! Assigns connections and queries to cores.
+//! Assignment of connections and queries to cores.
 //!
-//! A query stays on the core that has its connection, unless that core is dead, is stalled, or has many more
-//! open queries than another one. A query with an idempotency key goes to the core that its key hashes to: all
-//! open queries of one key then meet on one core.
+//! A query stays on the core of its connection, unless that core is dead, is stalled, or has many more open queries than
+//! another one. A query with an idempotency key goes to the core that its key hashes to, so that all open queries with
+//! one key are on one core.
 //!
 //! Times are microseconds since an origin that the caller chooses, the same for all cores.
 
 use crate::sync::{Arc, AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
-/// A core is stalled when it has left mail unread for longer than this, in microseconds.
+/// Time without progress after which a core with a non-empty mailbox counts as stalled, in microseconds.
 pub const STALL_TIMEOUT_US: u64 = 250_000;
-/// A query leaves its connection's core only if that core has more open queries than the least loaded one by
-/// more than this: a hand-over costs two wake-ups.
+/// A query leaves its connection's core only if that core has over this many more open queries than the least loaded
+/// one, as a hand-over costs two wake-ups.
 pub const OPEN_QUERIES_MARGIN: usize = 16;
 
 struct CoreStatus {
     alive: AtomicBool,
-    /// Connections that the core was given and that have not ended.
+    /// Open connections assigned to the core.
     connections: AtomicUsize,
-    /// Queries that the core was given and that have no answer yet.
+    /// Unanswered queries assigned to the core.
     open_queries: AtomicUsize,
-    /// Queries put into the core's mailbox.
+    /// Queries put into the core's mailbox since the start.
     enqueued: AtomicU64,
-    /// Queries that the core took out of its mailbox.
+    /// Queries that the core has taken from its mailbox since the start.
     dequeued: AtomicU64,
-    /// When the core last took a query out, or when its empty mailbox last got one.
+    /// The time when the core last took a query from its mailbox, or when a query last came into the empty mailbox.
     last_progress_us: AtomicU64,
 }
 
@@ -44,13 +44,13 @@
 /// The load and health of all cores.
 pub struct CoreDispatcher {
     cores: Vec<CoreStatus>,
-    /// Limit on the open queries of one core, those in its mailbox included.
+    /// Maximum number of open queries of one core, including those in its mailbox.
     max_open_queries: usize,
 }
 
 impl CoreDispatcher {
-    /// Creates the dispatcher for `cores` cores (at least one). Each core takes up to `max_open_queries` at
-    /// once, those in its mailbox included.
+    /// Creates the dispatcher for `cores` cores (at least one). Each core has at most `max_open_queries` open queries,
+    /// including those in its mailbox.
     pub fn new(cores: usize, max_open_queries: usize) -> Arc<Self> {
         Arc::new(Self {
             cores: (0..cores.max(1)).map(|_| CoreStatus::new()).collect(),
@@ -58,40 +58,40 @@
         })
     }
 
-    /// The number of cores, dead ones included.
+    /// The number of cores, including dead ones.
     pub fn core_count(&self) -> usize {
         self.cores.len()
     }
 
-    /// Whether a core has not ended.
+    /// Whether a core has not been marked dead.
     pub fn is_alive(&self, core: usize) -> bool {
         self.cores[core].alive.load(Ordering::Acquire)
     }
 
-    /// Records that a core has ended. It gets nothing more.
+    /// Records that a core has ended. No connection or query is assigned to it any more.
     pub fn mark_dead(&self, core: usize) {
         self.cores[core].alive.store(false, Ordering::Release);
     }
 
-    /// Whether a core has left mail unread for longer than [`STALL_TIMEOUT_US`].
+    /// Whether a core has queries in its mailbox and has made no progress for longer than [`STALL_TIMEOUT_US`].
     pub fn is_stalled(&self, core: usize, now_us: u64) -> bool {
         let status = &self.cores[core];
-        let has_mail =
+        let has_queued_queries =
             status.enqueued.load(Ordering::Acquire) > status.dequeued.load(Ordering::Acquire);
         let last_progress_us = status.last_progress_us.load(Ordering::Acquire);
-        has_mail && now_us.saturating_sub(last_progress_us) > STALL_TIMEOUT_US
+        has_queued_queries && now_us.saturating_sub(last_progress_us) > STALL_TIMEOUT_US
     }
 
     fn is_healthy(&self, core: usize, now_us: u64) -> bool {
         self.is_alive(core) && !self.is_stalled(core, now_us)
     }
 
-    /// The open queries of a core.
+    /// The number of open queries of a core.
     pub fn open_queries(&self, core: usize) -> usize {
         self.cores[core].open_queries.load(Ordering::Acquire)
     }
 
-    /// The connections of a core.
+    /// The number of open connections of a core.
     pub fn connections(&self, core: usize) -> usize {
         self.cores[core].connections.load(Ordering::Acquire)
     }
@@ -106,8 +106,8 @@
             .or_else(|| alive.min_by_key(|core| self.connections(*core)))
     }
 
-    /// The core for a query that came in on core `local`. `key_hash` is the hash of its idempotency key, if it
-    /// has one. `None` if no core can take it.
+    /// The core for a query from a connection of core `local`. `key_hash` is the hash of its idempotency key, if it has
+    /// one. `None` if no live core owns the key, or if no core is healthy.
     pub fn core_for_query(
         &self,
         local: usize,
@@ -125,8 +125,7 @@
         Some(if stays_local { local } else { least_loaded })
     }
 
-    /// The core that owns a key: the same one wherever the query comes in. If that core is dead, the next live
-    /// one after it.
+    /// The core that owns a key, independent of the query's connection. If that core is dead, the next live one.
     fn core_for_key(&self, key_hash: u64) -> Option<usize> {
         let cores = self.core_count();
         let owner = key_hash as usize % cores;
@@ -135,15 +134,15 @@
             .find(|core| self.is_alive(*core))
     }
 
-    /// Counts a query that is about to be put into a core's mailbox. Returns false, and counts nothing, if the
-    /// core has as many open queries as it may.
+    /// Counts a query that is about to be put into a core's mailbox. Returns false, without counting it, if the core has
+    /// the maximum number of open queries.
     pub fn try_enqueue(&self, core: usize, now_us: u64) -> bool {
         let status = &self.cores[core];
         if status.open_queries.fetch_add(1, Ordering::AcqRel) >= self.max_open_queries {
             status.open_queries.fetch_sub(1, Ordering::AcqRel);
             return false;
         }
-        // An idle core is not stalled: its time to read counts from the first query in its mailbox.
+        // An idle core is not stalled: the stall timeout starts with the first query in its mailbox.
         if status.enqueued.load(Ordering::Acquire) == status.dequeued.load(Ordering::Acquire) {
             status.last_progress_us.fetch_max(now_us, Ordering::AcqRel);
         }
@@ -151,24 +150,24 @@
         true
     }
 
-    /// Records that a core has taken a query out of its mailbox.
+    /// Records that a core has taken a query from its mailbox.
     pub fn query_dequeued(&self, core: usize, now_us: u64) {
         let status = &self.cores[core];
         status.dequeued.fetch_add(1, Ordering::AcqRel);
         status.last_progress_us.fetch_max(now_us, Ordering::AcqRel);
     }
 
-    /// Records that an enqueued query has its answer, or that nobody waits for it any more.
+    /// Records that an enqueued query was answered or abandoned.
     pub fn query_finished(&self, core: usize) {
         self.cores[core].open_queries.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Records that a connection was given to a core.
+    /// Records that a connection was assigned to a core.
     pub fn connection_opened(&self, core: usize) {
         self.cores[core].connections.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Records that a connection of a core has ended.
+    /// Records that a connection of a core was closed.
     pub fn connection_closed(&self, core: usize) {
         self.cores[core].connections.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/multi-core/src/drain_gates.rs
+++ b/crates/multi-core/src/drain_gates.rs
@@ -1,7 +1,7 @@
-//! Drain gates of hosts, and the list versions that cores have acknowledged.
+//! The drain gates of hosts, and the list versions that cores have acknowledged.
 //!
-//! A drain closes the host's gate for all cores in one step. A core that is busy for seconds and has not read
-//! the update still finds the gate closed at its next send.
+//! Draining a host closes its gate for all cores in one step. A core that is busy for seconds and has not read the
+//! update still finds the gate closed at its next send.
 //!
 //! Times are microseconds since an origin that the publisher chooses, the same for all cores.
 
@@ -9,12 +9,12 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::PoisonError;
 
-/// The closing time of a gate that stays open.
-const NEVER_CLOSES: u64 = u64::MAX;
+/// The closing time of an open gate, in microseconds.
+const NEVER_CLOSES_US: u64 = u64::MAX;
 
 type GatesByHost = HashMap<String, Arc<DrainGate>>;
 
-/// The gate of one host: from its closing time on, no core sends anything new to the host.
+/// The gate of one host: from its closing time on, no core starts a send to the host.
 pub struct DrainGate {
     closes_at_us: AtomicU64,
 }
@@ -22,21 +22,21 @@
 impl DrainGate {
     fn open() -> Self {
         Self {
-            closes_at_us: AtomicU64::new(NEVER_CLOSES),
+            closes_at_us: AtomicU64::new(NEVER_CLOSES_US),
         }
     }
 
-    /// Whether a send may start at this time.
+    /// Whether a send may start at `now_us`.
     pub fn allows_send(&self, now_us: u64) -> bool {
         now_us < self.closes_at_us.load(Ordering::Acquire)
     }
 
-    /// Lets sends through again.
+    /// Allows sends again.
     fn reopen(&self) {
-        self.closes_at_us.store(NEVER_CLOSES, Ordering::Release);
+        self.closes_at_us.store(NEVER_CLOSES_US, Ordering::Release);
     }
 
-    /// Closes the gate at this time, or sooner if that was decided before.
+    /// Closes the gate at `stop_at_us`, or at the closing time set earlier if that comes first.
     fn close_at(&self, stop_at_us: u64) {
         self.closes_at_us.fetch_min(stop_at_us, Ordering::AcqRel);
     }
@@ -49,14 +49,14 @@
 /// The gates of all hosts, and each core's acknowledged version of the host list.
 pub struct DrainGates {
     gates: RwLock<GatesByHost>,
-    /// The version published last.
+    /// The last published version.
     revision: AtomicU64,
-    /// By core.
+    /// The latest acknowledged version, by core.
     acknowledged: Vec<AtomicU64>,
 }
 
 impl DrainGates {
-    /// Creates the gates for `cores` cores, with no host known.
+    /// Creates the gates for `cores` cores, without any host.
     pub fn new(cores: usize) -> Arc<Self> {
         let acknowledged = (0..cores).map(|_| AtomicU64::new(0)).collect();
         Arc::new(Self {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The gate of a host. The gate of a host that was never published is open.
+    /// The gate of a host. A host that was never published gets an open gate.
     pub fn gate(&self, host: &str) -> Arc<DrainGate> {
         let known = self
             .gates
@@ -84,12 +84,12 @@
             .clone()
     }
 
-    /// Publishes an update of the host list, before any core is sent it. Returns its version, which cores
-    /// acknowledge.
+    /// Publishes an update of the host list; must be called before the update is sent to any core. Returns the update's
+    /// version, which cores acknowledge.
     ///
-    /// `hosts` gives each host and whether it is ready. With `complete`, hosts that are not named are gone. The
-    /// gates of hosts that are not ready close at `stop_at_us`, or sooner if an earlier update said so: the
-    /// grace counts from the first update that says that the host drains.
+    /// `hosts` yields each host and whether it is ready. With `complete`, all other hosts are gone. The gates of hosts
+    /// that are gone or not ready close at `stop_at_us`, or earlier if an earlier update set such a time: the drain
+    /// grace starts with the first update in which the host drains.
     pub fn publish<'a>(
         &self,
         complete: bool,
@@ -107,12 +107,12 @@
             named.insert(host);
         }
         if complete {
-            self.close_all_but(&named, stop_at_us);
+            self.close_all_except(&named, stop_at_us);
         }
         self.revision.fetch_add(1, Ordering::AcqRel) + 1
     }
 
-    fn close_all_but(&self, named: &HashSet<&str>, stop_at_us: u64) {
+    fn close_all_except(&self, named: &HashSet<&str>, stop_at_us: u64) {
         let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
         for (host, gate) in gates.iter() {
             if !named.contains(host.as_str()) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Forgets the hosts whose gates closed before this time.
+    /// Removes the gates that closed before `before_us`.
     pub fn prune(&self, before_us: u64) {
         self.gates
             .write()
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The version published last; 0 before the first one.
+    /// The last published version; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
--- a/crates/multi-core/src/key_ownership.rs
+++ b/crates/multi-core/src/key_ownership.rs
@@ -1,5 +1,5 @@
-//! Ownership of query names. Two open queries of one name would share the names of their parts on the hosts'
-//! wire, so the second one is a conflict, whichever core owns the first.
+//! Ownership of query names. Two open queries with one name would use the same part names in the protocol with hosts, so
+//! the second one is a conflict, whichever core owns the first.
 
 use crate::sync::{Arc, Mutex, MutexGuard};
 use std::collections::hash_map::Entry;
@@ -7,10 +7,10 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::PoisonError;
 
-/// Number of locks that names are spread over: two cores seldom want the same one.
-const STRIPES: usize = 32;
+/// Number of locks that names are distributed over, so that two cores seldom wait for the same one.
+const STRIPE_COUNT: usize = 32;
 
-/// The core that owns each name.
+/// The owner of each name in one stripe, as a core number.
 type Stripe = HashMap<std::sync::Arc<str>, usize>;
 
 /// The names in use, with the core that owns each.
@@ -19,7 +19,7 @@
     hasher: RandomState,
 }
 
-/// Locks a stripe. A core that panicked while it held the lock left the map intact: each change is one step.
+/// Locks a stripe. The map is intact even if a core panicked while it held the lock, as each change is one step.
 fn lock(stripe: &Mutex<Stripe>) -> MutexGuard<'_, Stripe> {
     stripe.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -28,16 +28,16 @@
     /// Creates the map with no name in use.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
-            stripes: (0..STRIPES).map(|_| Mutex::default()).collect(),
+            stripes: (0..STRIPE_COUNT).map(|_| Mutex::default()).collect(),
             hasher: RandomState::new(),
         })
     }
 
     fn stripe(&self, name: &str) -> MutexGuard<'_, Stripe> {
-        lock(&self.stripes[self.hasher.hash_one(name) as usize % STRIPES])
+        lock(&self.stripes[self.hasher.hash_one(name) as usize % STRIPE_COUNT])
     }
 
-    /// Makes a core the owner of a name. Returns false if the name is in use, on whichever core.
+    /// Makes a core the owner of a name. Returns false if the name is in use on any core.
     pub fn claim(&self, name: &std::sync::Arc<str>, core: usize) -> bool {
         match self.stripe(name).entry(name.clone()) {
             Entry::Occupied(_) => false,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Frees a name if this core owns it.
+    /// Frees a name if `core` owns it.
     pub fn release(&self, name: &str, core: usize) {
         let mut stripe = self.stripe(name);
         if stripe.get(name) == Some(&core) {
--- a/crates/multi-core/src/lib.rs
+++ b/crates/multi-core/src/lib.rs
@@ -1,12 +1,11 @@
-//! The state that several cores of one coordinator share, and no more. Free of I/O and clocks: callers pass the
-//! time in.
+//! The state that the cores of one coordinator share. No I/O and no clocks: callers pass the time in.
 //!
 //! | module | shared state |
 //! | --- | --- |
-//! | [`core_dispatch`] | which core gets a connection or a query, and which cores are alive |
-//! | [`drain_gates`] | until when requests may be sent to a host, and which list versions cores have applied |
-//! | [`key_ownership`] | which core owns a query name that is in use |
-//! | [`shared_budget`] | a budget of units, of which each core has a lease |
+//! | [`core_dispatch`] | assignment of connections and queries to cores, and the cores' load and health |
+//! | [`drain_gates`] | the times from which no request may be sent to a host, and the list versions that cores have applied |
+//! | [`key_ownership`] | the core that owns each query name in use |
+//! | [`shared_budget`] | a budget of units that each core has a lease on |
 //!
 //! With the feature `loom` the same code runs on loom's atomics and locks. The tests then explore the
 //! interleavings of two or three cores instead of sampling them.
--- a/crates/multi-core/src/shared_budget.rs
+++ b/crates/multi-core/src/shared_budget.rs
@@ -1,16 +1,16 @@
-//! One budget of units over several cores, of which each core has a lease. A core takes units from its own
-//! spare ones, then from the common pool, then from the spare units of other cores. The units in use never
-//! exceed the capacity.
+//! A budget of units shared by several cores, each of which has a lease. A core takes units from its own spare ones, then
+//! from the common pool, then from the spare units of other cores. The units in use never exceed the capacity.
 //!
-//! While a core gathers units for one request, it holds those that it has found so far. Two cores that both want
-//! the last units may then both be refused. So a refusal can come while free units are left, but fewer than the
-//! other cores' requests of that moment ask for. While no other core is acquiring, no free unit is refused.
+//! While a core gathers units for one request, it holds those that it has found so far. Two cores that both want the
+//! last units may then both be refused. A refusal is therefore possible while units are free, if their number is below
+//! that of the other cores' concurrent requests. While no other core is acquiring, a request that the free units can
+//! meet is never refused.
 
 use crate::sync::{Arc, AtomicBool, AtomicUsize, Ordering};
 
 /// The units of one core.
 struct CoreQuota {
-    /// Units that the core holds and does not use. Other cores may take them.
+    /// Units that the core holds without using them. Other cores may take them.
     spare: AtomicUsize,
     /// Units in use. Only the core itself changes this while it lives.
     used: AtomicUsize,
@@ -30,14 +30,14 @@
 /// The budget that the cores' leases draw on.
 pub struct SharedBudget {
     capacity: usize,
-    /// Units that a core borrows from the pool at a time.
+    /// Minimum number of units that a core borrows from the pool at a time, if the pool has so many.
     chunk: usize,
     /// Units that no core holds.
     pool: AtomicUsize,
     quotas: Vec<CoreQuota>,
 }
 
-/// Takes up to `max` units out of a counter. Returns how many.
+/// Subtracts up to `max` units from a counter. Returns how many were taken.
 fn take_up_to(counter: &AtomicUsize, max: usize) -> usize {
     let mut taken = 0;
     if max > 0 {
@@ -61,12 +61,12 @@
         })
     }
 
-    /// The units of the whole budget.
+    /// The number of units of the whole budget.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// The units in use on all cores. Other cores may change it during the call.
+    /// The number of units in use on all cores. It is approximate while other cores acquire or release.
     pub fn used(&self) -> usize {
         self.quotas
             .iter()
@@ -74,14 +74,14 @@
             .sum()
     }
 
-    /// The units in use on one core.
+    /// The number of units in use on one core.
     pub fn used_by(&self, core: usize) -> usize {
         self.quotas
             .get(core)
             .map_or(0, |quota| quota.used.load(Ordering::Acquire))
     }
 
-    /// All units: used, spare and in the pool. While no core acquires or releases, this is the capacity.
+    /// The sum of used, spare and pooled units. While no core acquires or releases, it equals the capacity.
     #[doc(hidden)]
     pub fn accounted(&self) -> usize {
         let spare: usize = self
@@ -92,7 +92,7 @@
         self.used() + spare + self.pool.load(Ordering::SeqCst)
     }
 
-    /// The lease of one core. Each core must have one at most.
+    /// Creates the lease of one core. Each core must have at most one.
     pub fn lease(budget: &Arc<Self>, core: usize) -> BudgetLease {
         BudgetLease {
             budget: budget.clone(),
@@ -113,7 +113,7 @@
             }
             taken += borrowed.min(missing);
         }
-        // Each core begins with its successor, so that not all of them ask the same one.
+        // Each core starts with its successor, so that not all of them take from the same one.
         let cores = self.quotas.len();
         for offset in 1..cores {
             if taken == units {
@@ -130,7 +130,7 @@
         true
     }
 
-    /// Gives `units` back that a core has in use. It keeps some of them spare.
+    /// Returns `units` that a core has in use. The core keeps some of them as spare units.
     #[doc(hidden)]
     pub fn release(&self, core: usize, units: usize) {
         let own = &self.quotas[core];
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Returns all units of a core that has ended to the pool, used or not. A second call does nothing.
+    /// Returns all units of an ended core, used or spare, to the pool. A second call has no effect.
     pub fn retire(&self, core: usize) {
         let own = &self.quotas[core];
         if own.alive.swap(false, Ordering::AcqRel) {
@@ -153,7 +153,7 @@
     }
 }
 
-/// A core's lease on the budget. Dropping it returns all units of the core, also when the core panics.
+/// A core's lease on the budget. Dropping it, also by a panic, returns all units of the core to the pool.
 pub struct BudgetLease {
     budget: Arc<SharedBudget>,
     core: usize,
@@ -165,12 +165,12 @@
         self.budget.acquire(self.core, units)
     }
 
-    /// Gives `units` back that were taken by this lease.
+    /// Returns `units` that were taken by this lease.
     pub fn release(&self, units: usize) {
         self.budget.release(self.core, units);
     }
 
-    /// The budget.
+    /// The budget that this lease belongs to.
     pub fn budget(&self) -> &Arc<SharedBudget> {
         &self.budget
     }
