--- a/crates/coordinator/src/front/mod.rs
+++ b/crates/coordinator/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: each turns its clients' requests into queries for the core and answers back.
+//! The client APIs: each parses its clients' requests into queries for the core and formats the answers.
 
 pub mod opensearch;
 pub mod platform;
@@ -7,18 +7,18 @@
 use opensearch::OpenSearch;
 use platform::Platform;
 
-/// All fronts on the one address where clients connect.
+/// All client APIs, served on one address.
 pub struct Fronts {
-    /// The platform's own.
+    /// The platform's API.
     pub platform: Platform,
-    /// The OpenSearch-style one, where an operator's file sets it up.
+    /// The OpenSearch-style API, if the operator's file configures it.
     pub opensearch: Option<OpenSearch>,
 }
 
 impl Service for Fronts {
     fn answer(&self, request: Request) -> Answering {
-        let other = self.opensearch.as_ref().and_then(|o| o.answer(&request));
-        other.unwrap_or_else(|| self.platform.answer(request))
+        let opensearch_answer = self.opensearch.as_ref().and_then(|o| o.answer(&request));
+        opensearch_answer.unwrap_or_else(|| self.platform.answer(request))
     }
 
     fn error(&self, status: u16, reason: &str) -> Response {
--- a/crates/coordinator/src/front/opensearch/answer.rs
+++ b/crates/coordinator/src/front/opensearch/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in OpenSearch's form: hits merged over districts, shard failures, errors.
+//! Responses in OpenSearch's format: hits merged over districts, shard failures and errors.
 
 use super::dsl::{Search, SortKey};
 use crate::core::MissingPart;
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::cmp::Ordering;
 
-/// What a host answers for its district.
+/// A host's answer for its district.
 #[derive(Deserialize)]
 struct HostAnswer {
     hits: HostHits,
@@ -26,30 +26,30 @@
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 struct Total {
     value: u64,
-    #[serde(default = "eq")]
+    #[serde(default = "relation_eq")]
     relation: String,
 }
 
-fn eq() -> String {
+fn relation_eq() -> String {
     "eq".to_owned()
 }
 
-/// A district that is not in the answer.
+/// A district that is missing from the answer.
 #[derive(Debug, Clone)]
 pub struct ShardFailure {
-    /// Its shard.
+    /// The district's shard.
     pub shard: u32,
-    /// OpenSearch's type for what happened.
+    /// OpenSearch's type of the error.
     pub kind: &'static str,
-    /// What happened.
+    /// The reason in words.
     pub reason: &'static str,
-    /// Whether its time ran out.
-    pub late: bool,
+    /// Whether the time for the district ran out.
+    pub timed_out: bool,
 }
 
 impl From<MissingPart> for ShardFailure {
-    fn from(m: MissingPart) -> Self {
-        let (kind, reason, late) = match m.last_outcome {
+    fn from(part: MissingPart) -> Self {
+        let (kind, reason, timed_out) = match part.last_outcome {
             None => (
                 "no_shard_available_action_exception",
                 "no host was asked in time",
@@ -72,32 +72,32 @@
             Some(Outcome::Error | Outcome::Ok) => ("exception", "the host failed", false),
         };
         Self {
-            shard: m.shard,
+            shard: part.shard,
             kind,
             reason,
-            late,
+            timed_out,
         }
     }
 }
 
-/// The districts' hits put together.
+/// The merged hits of all districts.
 #[derive(Debug, Clone, Default)]
-pub struct Merged {
+pub struct MergedHits {
     total: u64,
     at_least: bool,
-    /// Bytes that the hosts' answers took.
+    /// Size of the hosts' answers, in bytes.
     pub bytes: usize,
     /// All hits, best first.
     pub hits: Vec<Value>,
-    /// Districts that are not in it.
+    /// The districts whose hits are missing.
     pub failures: Vec<ShardFailure>,
-    /// Districts that are.
+    /// Number of districts whose hits are included.
     pub successful: usize,
 }
 
-/// Values of two hits for one sort key; a hit that has none comes last either way.
-fn compare(a: &Value, b: &Value, descending: bool) -> Ordering {
-    let plain = match (a, b) {
+/// Compares the values of two hits for one sort key. A null value comes last in either direction.
+fn compare_values(a: &Value, b: &Value, descending: bool) -> Ordering {
+    let ascending = match (a, b) {
         (Value::Null, Value::Null) => return Ordering::Equal,
         (Value::Null, _) => return Ordering::Greater,
         (_, Value::Null) => return Ordering::Less,
@@ -112,17 +112,18 @@
         (x, y) => x.to_string().cmp(&y.to_string()),
     };
     if descending {
-        plain.reverse()
+        ascending.reverse()
     } else {
-        plain
+        ascending
     }
 }
 
-fn better(a: &Value, b: &Value, sort: &[SortKey]) -> Ordering {
+/// Compares two hits by the sort keys, or by score if there are none; the better hit is less.
+fn compare_hits(a: &Value, b: &Value, sort: &[SortKey]) -> Ordering {
     if sort.is_empty() {
-        return compare(&a["_score"], &b["_score"], true);
+        return compare_values(&a["_score"], &b["_score"], true);
     }
-    let key = |n: usize, k: &SortKey| compare(&a["sort"][n], &b["sort"][n], k.descending);
+    let key = |n: usize, k: &SortKey| compare_values(&a["sort"][n], &b["sort"][n], k.descending);
     sort.iter()
         .enumerate()
         .map(|(n, k)| key(n, k))
@@ -130,59 +131,59 @@
         .unwrap_or(Ordering::Equal)
 }
 
-/// Merges the hosts' answers. One that can't be read counts as a failed district.
+/// Merges the hosts' answers. One that can't be parsed counts as a failed district.
 pub fn merge(
-    pieces: &[crate::core::PartAnswer],
+    parts: &[crate::core::PartAnswer],
     missing: Vec<MissingPart>,
     sort: &[SortKey],
-) -> Merged {
-    let mut m = Merged {
+) -> MergedHits {
+    let mut merged = MergedHits {
         failures: missing.into_iter().map(ShardFailure::from).collect(),
-        ..Merged::default()
+        ..MergedHits::default()
     };
-    for p in pieces {
-        m.bytes += p.value.len();
-        let failed = |kind, reason, late| ShardFailure {
-            shard: p.shard,
+    for part in parts {
+        merged.bytes += part.value.len();
+        let shard_failure = |kind, reason, timed_out| ShardFailure {
+            shard: part.shard,
             kind,
             reason,
-            late,
+            timed_out,
         };
-        match serde_json::from_slice::<HostAnswer>(&p.value) {
-            Ok(a) if a.timed_out => m.failures.push(failed(
+        match serde_json::from_slice::<HostAnswer>(&part.value) {
+            Ok(a) if a.timed_out => merged.failures.push(shard_failure(
                 "timeout_exception",
                 "the host ran out of time",
                 true,
             )),
             Ok(a) => {
-                m.successful += 1;
+                merged.successful += 1;
                 let total = a.hits.total.unwrap_or(Total {
                     value: a.hits.hits.len() as u64,
-                    relation: eq(),
+                    relation: relation_eq(),
                 });
-                m.total += total.value;
-                m.at_least |= total.relation != "eq";
-                m.hits.extend(a.hits.hits);
+                merged.total += total.value;
+                merged.at_least |= total.relation != "eq";
+                merged.hits.extend(a.hits.hits);
             }
-            Err(_) => m.failures.push(failed(
+            Err(_) => merged.failures.push(shard_failure(
                 "parsing_exception",
                 "the host's answer can't be read",
                 false,
             )),
         }
     }
-    // Stable: equal hits stay in the order of their districts.
-    m.hits.sort_by(|a, b| better(a, b, sort));
-    m
+    // The sort is stable: equal hits keep the order of their districts.
+    merged.hits.sort_by(|a, b| compare_hits(a, b, sort));
+    merged
 }
 
-impl Merged {
-    /// Whether some district's time ran out.
-    pub fn late(&self) -> bool {
-        self.failures.iter().any(|f| f.late)
+impl MergedHits {
+    /// Whether the time for any district ran out.
+    pub fn any_timed_out(&self) -> bool {
+        self.failures.iter().any(|f| f.timed_out)
     }
 
-    /// Hits in all, as far as known.
+    /// The total number of hits that the hosts reported; a lower bound if a host's total is one.
     pub fn total(&self) -> u64 {
         self.total
     }
@@ -195,13 +196,17 @@
             "failed": self.failures.len(),
         });
         if !self.failures.is_empty() {
-            shards["failures"] = self.failures.iter().map(|f| failure(index, f)).collect();
+            shards["failures"] = self
+                .failures
+                .iter()
+                .map(|f| failure_json(index, f))
+                .collect();
         }
         shards
     }
 
-    /// The body of a search's answer.
-    pub fn search(&self, index: &str, s: &Search, took: u128) -> Value {
+    /// The JSON body of a search response. `took` is in milliseconds.
+    pub fn search_body(&self, index: &str, s: &Search, took: u128) -> Value {
         let page: Vec<&Value> = self.hits.iter().skip(s.from).take(s.size).collect();
         let best = page
             .iter()
@@ -209,7 +214,7 @@
             .fold(None, |a: Option<f64>, b| Some(a.map_or(b, |a| a.max(b))));
         json!({
             "took": took as u64,
-            "timed_out": self.late(),
+            "timed_out": self.any_timed_out(),
             "_shards": self.shards(index),
             "hits": {
                 "total": {"value": self.total, "relation": if self.at_least { "gte" } else { "eq" }},
@@ -219,33 +224,33 @@
         })
     }
 
-    /// The body of a count's answer.
-    pub fn count(&self, index: &str) -> Value {
+    /// The JSON body of a count response.
+    pub fn count_body(&self, index: &str) -> Value {
         json!({"count": self.total, "_shards": self.shards(index)})
     }
 }
 
-fn failure(index: &str, f: &ShardFailure) -> Value {
+fn failure_json(index: &str, f: &ShardFailure) -> Value {
     json!({"shard": f.shard, "index": index, "reason": {"type": f.kind, "reason": f.reason}})
 }
 
-/// An error in OpenSearch's form.
+/// An error response in OpenSearch's format.
 #[derive(Debug, Clone)]
 pub struct Failure {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// OpenSearch's type.
+    /// OpenSearch's type of the error.
     pub kind: &'static str,
     /// The reason in words.
     pub reason: String,
-    /// When to come back.
+    /// The time after which the client may retry.
     pub retry_after: Option<std::time::Duration>,
-    /// Districts that failed.
+    /// The districts that failed.
     pub shards: Vec<ShardFailure>,
 }
 
 impl Failure {
-    /// An error without shards.
+    /// Creates an error without failed districts.
     pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> Self {
         Self {
             status,
@@ -256,7 +261,7 @@
         }
     }
 
-    /// The body.
+    /// The JSON body.
     pub fn body(&self, index: &str) -> Value {
         let mut error = json!({
             "root_cause": [{"type": self.kind, "reason": self.reason}],
@@ -265,15 +270,15 @@
         });
         if !self.shards.is_empty() {
             error["phase"] = "query".into();
-            error["failed_shards"] = self.shards.iter().map(|f| failure(index, f)).collect();
+            error["failed_shards"] = self.shards.iter().map(|f| failure_json(index, f)).collect();
         }
         json!({"error": error, "status": self.status})
     }
 
-    /// The whole response.
+    /// The HTTP response.
     pub fn response(&self, index: &str) -> Response {
         let response = Response::json(self.status, self.body(index).to_string());
-        // OpenSearch's clients take whole seconds only (RFC 9110, 10.2.3).
+        // OpenSearch's clients accept whole seconds only (RFC 9110, 10.2.3).
         match self.retry_after {
             Some(d) => response.with("Retry-After", d.as_secs_f64().ceil().max(1.0).to_string()),
             None => response,
--- a/crates/coordinator/src/front/opensearch/hosts.rs
+++ b/crates/coordinator/src/front/opensearch/hosts.rs
@@ -1,5 +1,5 @@
-//! The OpenSearch dialect towards district hosts: `_search` for one part, `_msearch` for a call of
-//! several, each naming its shard by `preference`.
+//! OpenSearch's protocol with district hosts: `_search` for a call of one part, `_msearch` for a call of several. Each
+//! search names its shard by `preference`.
 
 use crate::core::{AttemptEnd, CoreMessage, PartRequest};
 use crate::interface::{Outcome, RequestId};
@@ -14,19 +14,21 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const INPUT: usize = 32 * 1024;
-const OUTPUT: usize = 32 * 1024;
-/// Largest answer taken from a host.
-const MOST_ANSWER: usize = 512 * 1024;
+/// Size of a connection's input buffer, in bytes.
+const INPUT_BUFFER_BYTES: usize = 32 * 1024;
+/// Size of a connection's output buffer, in bytes.
+const OUTPUT_BUFFER_BYTES: usize = 32 * 1024;
+/// Maximum size of a host's response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 512 * 1024;
 
-/// What a part carries for any dialect: the index on one line, the search on the next.
+/// The payload of a part: the index on the first line, the search as JSON on the second.
 pub fn payload(index: &str, search: &Map<String, Value>) -> Bytes {
     let body = serde_json::to_string(search).unwrap_or_default();
     Bytes::from(format!("{index}\n{body}"))
 }
 
-/// Reads a payload back, adding the time left as the host's own `timeout`.
-fn search_of(part: &PartRequest, now: Instant) -> Option<(String, String)> {
+/// Parses a part's payload into its index and search, with the remaining time added as the search's `timeout`.
+fn parse_payload(part: &PartRequest, now: Instant) -> Option<(String, String)> {
     let (index, body) = std::str::from_utf8(&part.payload).ok()?.split_once('\n')?;
     let mut body: Map<String, Value> = serde_json::from_str(body).ok()?;
     let left = part
@@ -38,11 +40,12 @@
     Some((index.to_owned(), Value::Object(body).to_string()))
 }
 
-/// The request for a call. All its parts have the same key, if any.
-fn request(parts: &[PartRequest], host: &str, now: Instant) -> Option<Vec<u8>> {
+/// The HTTP request for a call; `None` if a payload can't be parsed. All its parts have the same idempotency key, if
+/// any.
+fn request_bytes(parts: &[PartRequest], host: &str, now: Instant) -> Option<Vec<u8>> {
     let (target, kind, body) = match parts {
         [part] => {
-            let (index, body) = search_of(part, now)?;
+            let (index, body) = parse_payload(part, now)?;
             (
                 format!("/{index}/_search?preference=_shards:{}", part.shard),
                 "json",
@@ -52,7 +55,7 @@
         parts => {
             let mut lines = String::new();
             for p in parts {
-                let (index, body) = search_of(p, now)?;
+                let (index, body) = parse_payload(p, now)?;
                 let head = json!({"index": index, "preference": format!("_shards:{}", p.shard)});
                 lines.push_str(&format!("{head}\n{body}\n"));
             }
@@ -74,30 +77,30 @@
 }
 
 #[derive(Deserialize)]
-struct Many<'a> {
+struct MultiSearchResponse<'a> {
     #[serde(borrow)]
     responses: Vec<&'a RawValue>,
 }
 
-/// What a host's answer says of its own worth.
+/// The fields of a search response that show whether it is complete.
 #[derive(Deserialize)]
-struct Checked {
+struct ResponseStatus {
     status: Option<u16>,
     #[serde(default)]
     timed_out: bool,
     #[serde(default, rename = "_shards")]
-    shards: Shards,
+    shards: ShardCounts,
     hits: Option<IgnoredAny>,
 }
 
 #[derive(Deserialize, Default)]
-struct Shards {
+struct ShardCounts {
     #[serde(default)]
     failed: u64,
 }
 
-/// How a host's status ends a part: only a refusal at its door proves that the part never ran.
-fn outcome(status: u16) -> Outcome {
+/// The outcome of a part by the response's status. Only status 429 proves that the part never ran.
+fn outcome_of_status(status: u16) -> Outcome {
     match status {
         200 => Outcome::Ok,
         429 => Outcome::Rejected,
@@ -105,14 +108,14 @@
     }
 }
 
-/// One part's outcome and value. An answer without hits, or one that the host itself marks as cut short,
-/// must not pass for the whole of its district: it counts as an error, and another host may be asked.
-fn part(status: u16, body: &[u8]) -> (Outcome, Option<Bytes>) {
-    let checked = serde_json::from_slice::<Checked>(body).ok();
-    let status = checked.as_ref().and_then(|c| c.status).unwrap_or(status);
-    let whole = |c: &Checked| c.hits.is_some() && !c.timed_out && c.shards.failed == 0;
-    match outcome(status) {
-        Outcome::Ok if checked.as_ref().is_some_and(whole) => {
+/// The outcome and value of one part. A response without hits, or marked as incomplete by the host, must not count as
+/// the district's whole answer: it is an error, after which another host may be call_parts.
+fn read_part(status: u16, body: &[u8]) -> (Outcome, Option<Bytes>) {
+    let response = serde_json::from_slice::<ResponseStatus>(body).ok();
+    let status = response.as_ref().and_then(|c| c.status).unwrap_or(status);
+    let is_complete = |c: &ResponseStatus| c.hits.is_some() && !c.timed_out && c.shards.failed == 0;
+    match outcome_of_status(status) {
+        Outcome::Ok if response.as_ref().is_some_and(is_complete) => {
             (Outcome::Ok, Some(Bytes::copy_from_slice(body)))
         }
         Outcome::Ok => (Outcome::Error, None),
@@ -121,25 +124,25 @@
 }
 
 /// The outcome and value of each part of a call.
-fn read(parts: usize, status: u16, body: &Bytes) -> Vec<(Outcome, Option<Bytes>)> {
+fn read_parts(parts: usize, status: u16, body: &Bytes) -> Vec<(Outcome, Option<Bytes>)> {
     if parts == 1 {
-        return vec![part(status, body)];
+        return vec![read_part(status, body)];
     }
-    let many = serde_json::from_slice::<Many>(body)
+    let many = serde_json::from_slice::<MultiSearchResponse>(body)
         .ok()
         .filter(|m| m.responses.len() == parts);
     match many {
         Some(many) if status == 200 => many
             .responses
             .iter()
-            .map(|r| part(500, r.get().as_bytes()))
+            .map(|r| read_part(500, r.get().as_bytes()))
             .collect(),
         _ if status == 200 => vec![(Outcome::Error, None); parts],
-        _ => vec![(outcome(status), None); parts],
+        _ => vec![(outcome_of_status(status), None); parts],
     }
 }
 
-/// The dialect of OpenSearch.
+/// The [`Dialect`] of OpenSearch's HTTP API.
 pub struct OpenSearchHosts;
 
 impl Dialect for OpenSearchHosts {
@@ -147,7 +150,7 @@
         Box::pin(run(setup))
     }
 
-    /// One call at a time: an answer in HTTP/1.1 waits for the one before it.
+    /// Allows one call at a time, as HTTP/1.1 responses are sent in the order of the requests.
     fn room(&self, out: usize, _parts: usize, _streams: usize) -> bool {
         out == 0
     }
@@ -157,62 +160,65 @@
     }
 }
 
-struct Http {
+/// One connection to a host.
+struct HostLink {
     setup: LinkSetup,
     queue: VecDeque<Vec<PartRequest>>,
-    /// Parts whose request has begun and which are not given up.
-    out: Vec<PartRequest>,
-    /// Whether the request's last byte is written.
-    written: bool,
-    /// Probes that wait for their turn, or for their answer.
+    /// Parts of the current request that are not cancelled.
+    in_flight: Vec<PartRequest>,
+    /// Whether the last byte of the current request was written.
+    request_written: bool,
+    /// Number of probes that are queued or wait for their response.
     probes: usize,
-    /// Attempts given up, told to the core once the connection is closed.
-    leaving: Vec<(RequestId, u32, Outcome)>,
+    /// Cancelled attempts, whose end is reported to the core once the connection is closed.
+    cancelled: Vec<(RequestId, u32, Outcome)>,
 }
 
 async fn run(setup: LinkSetup) {
     let (addr, within) = (setup.addr.clone(), setup.connect_timeout);
-    let mut link = Http {
+    let mut link = HostLink {
         setup,
         queue: VecDeque::new(),
-        out: Vec::new(),
-        written: false,
+        in_flight: Vec::new(),
+        request_written: false,
         probes: 0,
-        leaving: Vec::new(),
-    };
-    let (code, detail) = match BufferedStream::connect(&addr, within, INPUT, OUTPUT).await {
-        Ok(conn) => {
-            link.setup.counters.inc("links.opened");
-            link.serve(conn).await
-        }
-        Err(e) => ("connect_failed", e.to_string()),
+        cancelled: Vec::new(),
     };
+    let (code, detail) =
+        match BufferedStream::connect(&addr, within, INPUT_BUFFER_BYTES, OUTPUT_BUFFER_BYTES).await
+        {
+            Ok(conn) => {
+                link.setup.counters.inc("links.opened");
+                link.serve(conn).await
+            }
+            Err(e) => ("connect_failed", e.to_string()),
+        };
     link.setup.log_end(code, &detail);
     link.setup.mail.close();
-    if !link.leaving.is_empty() {
+    if !link.cancelled.is_empty() {
         tokio::time::sleep(CANCEL_HEAD).await;
     }
-    for (part, attempt, outcome) in std::mem::take(&mut link.leaving) {
+    for (part, attempt, outcome) in std::mem::take(&mut link.cancelled) {
         link.setup.ended(part, attempt, outcome);
     }
-    // A break before the last byte was written: never ran. After it: it may have.
-    let outcome = if link.written {
+    // If the connection broke before the last byte was written, the parts never ran; after it, they may have run.
+    let outcome = if link.request_written {
         Outcome::Reset
     } else {
         Outcome::ConnectFailed
     };
-    for p in std::mem::take(&mut link.out) {
+    for p in std::mem::take(&mut link.in_flight) {
         link.setup.ended(p.part, p.attempt, outcome);
     }
     while let Ok(mail) = link.setup.mail.try_recv() {
-        link.take(mail);
+        link.handle(mail);
     }
     for p in link.queue.drain(..).flatten() {
         link.setup.ended(p.part, p.attempt, Outcome::ConnectFailed);
     }
-    // A probe that got no answer must not pass for one that did: the module would send parts again.
+    // A probe without a response must not count as answered: the decision module would send parts to the host again.
     if link.probes > 0 {
-        link.probed(if code == "probe_timeout" {
+        link.report_probe(if code == "probe_timeout" {
             Outcome::Timeout
         } else {
             Outcome::ConnectFailed
@@ -220,12 +226,12 @@
     }
 }
 
-impl Http {
-    /// Takes one message; false if the connection has to be closed for it.
-    fn take(&mut self, mail: LinkMail) -> bool {
+impl HostLink {
+    /// Handles one message; returns false if the connection must be closed.
+    fn handle(&mut self, mail: LinkMail) -> bool {
         match mail {
             LinkMail::Call(mut parts) => {
-                // A request has one header for the key, so parts with different keys go apart.
+                // A request has one idempotency key header, so parts with different keys go into separate requests.
                 while let Some(first) = parts.first() {
                     let key = first.idempotency_key.clone();
                     let (same, rest) = parts.into_iter().partition(|p| p.idempotency_key == key);
@@ -234,19 +240,19 @@
                 }
             }
             LinkMail::Cancel(part, attempt, outcome) => {
-                let this = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
+                let is_cancelled = |p: &PartRequest| (p.part, p.attempt) == (part, attempt);
                 if take_out(&mut self.queue, part, attempt) {
-                    let never = if outcome == Outcome::Timeout {
+                    let unsent_outcome = if outcome == Outcome::Timeout {
                         Outcome::NotSent
                     } else {
                         outcome
                     };
-                    self.setup.ended(part, attempt, never);
+                    self.setup.ended(part, attempt, unsent_outcome);
                 }
-                if self.out.iter().any(this) {
-                    self.out.retain(|p| !this(p));
-                    // HTTP has no withdrawal but the connection's end; the core hears of it after that.
-                    self.leaving.push((part, attempt, outcome));
+                if self.in_flight.iter().any(is_cancelled) {
+                    self.in_flight.retain(|p| !is_cancelled(p));
+                    // HTTP/1.1 requests are cancelled only by closing the connection; the core is told after that.
+                    self.cancelled.push((part, attempt, outcome));
                     return false;
                 }
             }
@@ -257,12 +263,12 @@
             }
             LinkMail::Probe => self.probes += 1,
             LinkMail::StopAt(at) => self.setup.stop_at = at,
-            LinkMail::Release => return !(self.out.is_empty() && self.queue.is_empty()),
+            LinkMail::Release => return !(self.in_flight.is_empty() && self.queue.is_empty()),
         }
         true
     }
 
-    fn probed(&mut self, outcome: Outcome) {
+    fn report_probe(&mut self, outcome: Outcome) {
         self.probes = 0;
         let _ = self
             .setup
@@ -270,14 +276,14 @@
             .send(CoreMessage::ProbeEnded(self.setup.server, outcome, None));
     }
 
-    /// Asks for the host's root, the cheapest request there is; any answer will do.
+    /// Requests the host's root path, the cheapest request; any response counts as success.
     async fn probe(&mut self, conn: &mut BufferedStream) -> Result<(), (&'static str, String)> {
-        let ask = format!("GET / HTTP/1.1\r\nHost: {}\r\n\r\n", self.setup.addr);
+        let probe_request = format!("GET / HTTP/1.1\r\nHost: {}\r\n\r\n", self.setup.addr);
         let within = self.setup.connect_timeout;
-        match tokio::time::timeout(within, self.exchange(conn, ask.as_bytes())).await {
+        match tokio::time::timeout(within, self.exchange(conn, probe_request.as_bytes())).await {
             Ok(Ok(Some(_))) => {
-                self.written = false;
-                self.probed(Outcome::Ok);
+                self.request_written = false;
+                self.report_probe(Outcome::Ok);
                 Ok(())
             }
             Ok(Ok(None)) => Err(("withdrawn", String::new())),
@@ -293,17 +299,17 @@
                 tokio::select! {
                     biased;
                     mail = self.setup.mail.recv() => match mail {
-                        Some(mail) => if !self.take(mail) { return ("released", String::new()) },
+                        Some(mail) => if !self.handle(mail) { return ("released", String::new()) },
                         None => return ("peer_gone", String::new()),
                     },
                     _ = conn.fill() => return ("host_closed", String::new()),
                     _ = tokio::time::sleep(idle) => return ("idle", String::new()),
                 }
             }
-            // All that waits comes before the next byte goes out: a call must not begin of which the
-            // withdrawal is here already.
+            // Queued messages are handled before the next byte is sent, so that no call starts whose cancellation has
+            // already arrived.
             while let Ok(mail) = self.setup.mail.try_recv() {
-                if !self.take(mail) {
+                if !self.handle(mail) {
                     return ("released", String::new());
                 }
             }
@@ -317,20 +323,20 @@
                 continue;
             };
             let now = Instant::now();
-            self.out = self.setup.sendable(call, now);
-            if self.out.is_empty() {
+            self.in_flight = self.setup.sendable(call, now);
+            if self.in_flight.is_empty() {
                 continue;
             }
-            let asked = self.out.clone();
-            let Some(bytes) = request(&asked, &self.setup.addr, now) else {
+            let call_parts = self.in_flight.clone();
+            let Some(bytes) = request_bytes(&call_parts, &self.setup.addr, now) else {
                 return ("bad_payload", String::new());
             };
-            self.written = false;
+            self.request_written = false;
             let end = match self.exchange(&mut conn, &bytes).await {
                 Ok(Some((status, body))) => {
-                    self.out.clear();
-                    self.written = false;
-                    self.report_answers(&asked, status, &body);
+                    self.in_flight.clear();
+                    self.request_written = false;
+                    self.report_answers(&call_parts, status, &body);
                     continue;
                 }
                 Ok(None) => ("withdrawn", String::new()),
@@ -341,7 +347,7 @@
     }
 
     fn report_answers(&self, parts: &[PartRequest], status: u16, body: &Bytes) {
-        for (part, (outcome, value)) in parts.iter().zip(read(parts.len(), status, body)) {
+        for (part, (outcome, value)) in parts.iter().zip(read_parts(parts.len(), status, body)) {
             self.setup.report(AttemptEnd {
                 part: part.part,
                 attempt: part.attempt,
@@ -352,30 +358,33 @@
         }
     }
 
-    /// One request and its answer; `None` if a part of it was given up.
+    /// Sends one request and reads its response. Returns `None` if the connection must be closed for a message from the
+    /// core, such as a cancellation.
     async fn exchange(
         &mut self,
         conn: &mut BufferedStream,
         bytes: &[u8],
     ) -> Result<Option<(u16, Bytes)>, HttpError> {
-        let mut at = 0;
-        while at < bytes.len() || !conn.output.is_empty() {
-            at += conn.output.put(&bytes[at..]);
+        let mut sent = 0;
+        while sent < bytes.len() || !conn.output.is_empty() {
+            sent += conn.output.put(&bytes[sent..]);
             conn.push()?;
             if conn.output.is_empty() {
                 continue;
             }
             tokio::select! {
                 ready = conn.stream.writable() => ready?,
-                mail = self.setup.mail.recv() => if !mail.is_some_and(|m| self.take(m)) { return Ok(None) },
+                mail = self.setup.mail.recv() => if !mail.is_some_and(|m| self.handle(m)) { return Ok(None) },
             }
         }
-        self.written = true;
-        self.setup.counters.add("tries", self.out.len() as u64);
+        self.request_written = true;
+        self.setup
+            .counters
+            .add("tries", self.in_flight.len() as u64);
         let answer = async {
             let (status, headers) = response_head(conn).await?;
             let body = Body::of_response(&headers)?
-                .read_all(conn, MOST_ANSWER)
+                .read_all(conn, MAX_RESPONSE_BYTES)
                 .await?;
             Ok((status, body))
         };
@@ -384,7 +393,7 @@
             tokio::select! {
                 biased;
                 done = &mut answer => return done.map(Some),
-                mail = self.setup.mail.recv() => if !mail.is_some_and(|m| self.take(m)) { return Ok(None) },
+                mail = self.setup.mail.recv() => if !mail.is_some_and(|m| self.handle(m)) { return Ok(None) },
             }
         }
     }
--- a/crates/coordinator/src/front/opensearch/mod.rs
+++ b/crates/coordinator/src/front/opensearch/mod.rs
@@ -1,5 +1,5 @@
-//! The OpenSearch-style front: free taxis near a pickup, asked for in OpenSearch's query language. It
-//! hands queries to the same core as the platform's front, one part for each district.
+//! The OpenSearch-style API: searches for free taxis near a pickup in OpenSearch's query language. Its queries go to
+//! the same core as those of the platform's API, with one part for each district.
 
 pub mod answer;
 pub mod dsl;
@@ -18,9 +18,9 @@
 use crate::net::http::{Answering, Request, Response};
 use answer::Failure;
 use bytes::Bytes;
-use dsl::{Bad, Reader};
+use dsl::{QueryError, SearchParser};
 use params::Params;
-use scroll::Scrolls;
+use scroll::ScrollContexts;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -29,13 +29,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-impl From<Bad> for Failure {
-    fn from(bad: Bad) -> Self {
-        Failure::new(400, bad.0, bad.1)
+impl From<QueryError> for Failure {
+    fn from(error: QueryError) -> Self {
+        Failure::new(400, error.0, error.1)
     }
 }
 
-fn illegal(reason: String) -> Failure {
+fn illegal_argument(reason: String) -> Failure {
     Failure::new(400, "illegal_argument_exception", reason)
 }
 
@@ -45,36 +45,40 @@
     tenant: Option<TenantId>,
 }
 
-struct Shared {
+struct OpenSearchState {
     core: CoreHandle,
     counters: Counters,
     indices: BTreeMap<String, Index>,
     classes: Vec<QueryClass>,
     tenants: Vec<String>,
-    scrolls: Mutex<Scrolls>,
+    scrolls: Mutex<ScrollContexts>,
+    /// Differs at each start of the process; part of query names.
     incarnation: u64,
-    next: AtomicU64,
+    /// The number of the next query of this process.
+    next_query: AtomicU64,
 }
 
-/// The front; clones share everything.
+/// The OpenSearch-style API. Clones share the state.
 #[derive(Clone)]
-pub struct OpenSearch(Arc<Shared>);
+pub struct OpenSearch(Arc<OpenSearchState>);
 
-/// What the request's headers and parameters say of a search.
+/// The options of a search from the request's headers and parameters.
 #[derive(Clone)]
-struct Terms {
+struct SearchOptions {
     arrived: Instant,
+    /// The timeout from the parameters.
     timeout: Option<Duration>,
+    /// The time until the client's deadline, if the request has one.
     left: Option<Duration>,
     allow_partial: bool,
     tenant: Option<String>,
     key: Option<String>,
 }
 
-type Answered = Result<Response, Failure>;
+type ResponseResult = Result<Response, Failure>;
 
 impl OpenSearch {
-    /// The front over this core. `incarnation` must be new with each start of the process.
+    /// Creates the API, which sends its queries to `core`. `incarnation` must differ at each start of the process.
     pub fn new(
         config: &OpenSearchConfig,
         site: &SiteSettings,
@@ -100,30 +104,33 @@
                 },
             ))
         };
-        Self(Arc::new(Shared {
+        Self(Arc::new(OpenSearchState {
             core,
             counters,
             indices: config.index.iter().filter_map(index).collect(),
             classes: site.router.classes.clone(),
             tenants: site.tenants.clone(),
-            scrolls: Mutex::new(Scrolls::new(incarnation, config.scroll_contexts)),
+            scrolls: Mutex::new(ScrollContexts::new(incarnation, config.scroll_contexts)),
             incarnation,
-            next: AtomicU64::new(0),
+            next_query: AtomicU64::new(0),
         }))
     }
 
-    /// The answer to a request, or `None` for a path that is not this front's.
+    /// The response to a request, or `None` if its path does not belong to this API.
     pub fn answer(&self, request: &Request) -> Option<Answering> {
         let path: Vec<&str> = request.path.split('/').filter(|p| !p.is_empty()).collect();
-        let (index, what) = match path[..] {
+        let (index, operation) = match path[..] {
             ["_msearch"] => ("", "_msearch"),
             ["_search", "scroll"] => ("", "scroll"),
             ["_search", "scroll", "_all"] => ("_all", "scroll"),
-            [index, what @ ("_search" | "_msearch" | "_count")] => (index, what),
+            [index, operation @ ("_search" | "_msearch" | "_count")] => (index, operation),
             _ => return None,
         };
         let method = request.method.as_str();
-        if !matches!((method, what), ("GET" | "POST", _) | ("DELETE", "scroll")) {
+        if !matches!(
+            (method, operation),
+            ("GET" | "POST", _) | ("DELETE", "scroll")
+        ) {
             let reason = format!(
                 "Incorrect HTTP method for uri [{}] and method [{method}]",
                 request.path
@@ -132,17 +139,17 @@
             return Some(Box::pin(std::future::ready(error.response(index))));
         }
         self.0.counters.inc("opensearch.requests");
-        let work: Pin<Box<dyn Future<Output = Answered> + Send>> = match what {
+        let work: Pin<Box<dyn Future<Output = ResponseResult> + Send>> = match operation {
             "_search" => self.search(index, request),
             "_count" => self.count(index, request),
             "_msearch" => self.msearch(index, request),
             _ if method == "DELETE" => {
-                let freed = self.free(index == "_all", request);
-                Box::pin(std::future::ready(freed))
+                let response = self.free_scrolls(index == "_all", request);
+                Box::pin(std::future::ready(response))
             }
             _ => {
-                let page = self.page(request);
-                Box::pin(std::future::ready(page))
+                let response = self.scroll_page(request);
+                Box::pin(std::future::ready(response))
             }
         };
         let (index, counters) = (index.to_owned(), self.0.counters.clone());
@@ -154,7 +161,7 @@
         }))
     }
 
-    /// An error that the server itself found, in this front's form.
+    /// The response for an error that the HTTP server found, in OpenSearch's format.
     pub fn error(status: u16, reason: &str) -> Response {
         let kind = match status {
             400 => "parse_exception",
@@ -176,52 +183,57 @@
         self.0.indices.get(name).ok_or_else(unknown)
     }
 
-    fn scrolls(&self) -> MutexGuard<'_, Scrolls> {
+    fn scrolls(&self) -> MutexGuard<'_, ScrollContexts> {
         self.0
             .scrolls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn terms(&self, request: &Request, params: &Params, index: &Index) -> Result<Terms, Failure> {
-        let flag = |name: &str| {
+    fn search_options(
+        &self,
+        request: &Request,
+        params: &Params,
+        index: &Index,
+    ) -> Result<SearchOptions, Failure> {
+        let bool_param = |name: &str| {
             match params.get(name) {
             None | Some("" | "true") => Ok(true),
             Some("false") => Ok(false),
-            Some(other) => Err(illegal(format!(
+            Some(other) => Err(illegal_argument(format!(
                 "Failed to parse value [{other}] as only [true] or [false] are allowed, for [{name}]"
             ))),
         }
         };
         let header = |name: &Option<String>| name.as_ref().and_then(|n| request.headers.get(n));
         let key = header(&index.config.key_header).map(str::to_owned);
-        let plain = |k: &String| {
+        let is_valid_key = |k: &String| {
             !k.is_empty() && k.len() <= 128 && k.bytes().all(|b| b.is_ascii_graphic() && b != b',')
         };
-        if key.as_ref().is_some_and(|k| !plain(k)) {
-            return Err(illegal("the key's header can't be used".into()));
+        if key.as_ref().is_some_and(|k| !is_valid_key(k)) {
+            return Err(illegal_argument("the key's header can't be used".into()));
         }
-        Ok(Terms {
+        Ok(SearchOptions {
             arrived: request.arrived,
             left: request.left(),
             timeout: params
                 .get("timeout")
-                .map(|t| dsl::time("timeout", t))
+                .map(|t| dsl::parse_time("timeout", t))
                 .transpose()?,
-            allow_partial: flag("allow_partial_search_results")?,
+            allow_partial: bool_param("allow_partial_search_results")?,
             tenant: header(&index.config.tenant_header).map(str::to_owned),
             key,
         })
     }
 
-    fn reader<'a>(&self, index: &'a Index) -> Reader<'a> {
-        Reader {
+    fn search_parser<'a>(&self, index: &'a Index) -> SearchParser<'a> {
+        SearchParser {
             district_field: &index.config.district_field,
             location_field: &index.config.location_field,
         }
     }
 }
 
-fn ok(body: &Value) -> Response {
+fn ok_response(body: &Value) -> Response {
     Response::json(200, Bytes::from(body.to_string()))
 }
--- a/crates/coordinator/src/front/opensearch/pages.rs
+++ b/crates/coordinator/src/front/opensearch/pages.rs
@@ -1,14 +1,14 @@
-//! A scroll's further pages, and its end.
+//! The requests for the further pages of a scroll and for its release.
 
 use super::params::{json_body, keep_alive, Params};
-use super::{illegal, ok, Answered, OpenSearch};
+use super::{illegal_argument, ok_response, OpenSearch, ResponseResult};
 use crate::net::http::{Request, Response};
 use serde_json::{json, Value};
 use std::time::Instant;
 
 impl OpenSearch {
-    /// The next page of a scroll: from memory, so at once.
-    pub(super) fn page(&self, request: &Request) -> Answered {
+    /// Returns the next page of a scroll, from memory.
+    pub(super) fn scroll_page(&self, request: &Request) -> ResponseResult {
         let params = Params::read(request, &["scroll", "scroll_id"])?;
         let body = json_body(&request.body)?;
         let fields = body.as_object().into_iter().flatten();
@@ -16,24 +16,31 @@
             .clone()
             .find(|(k, v)| !matches!(k.as_str(), "scroll" | "scroll_id") || !v.is_string())
         {
-            return Err(illegal(format!(
+            return Err(illegal_argument(format!(
                 "Unknown parameter [{key}] in request body"
             )));
         }
         let text = |name: &str| body[name].as_str().or(params.get(name));
-        let id = text("scroll_id").ok_or_else(|| illegal("scroll_id is missing".into()))?;
-        let keep = text("scroll").map(keep_alive).transpose()?;
+        let id =
+            text("scroll_id").ok_or_else(|| illegal_argument("scroll_id is missing".into()))?;
+        let keep_alive = text("scroll").map(keep_alive).transpose()?;
         let arrived = request.arrived;
-        let page = self.scrolls().next(id, keep, Instant::now(), |c| {
-            c.merged
-                .search(&c.index, &c.search, arrived.elapsed().as_millis())
-        });
+        let page = self
+            .scrolls()
+            .next_page(id, keep_alive, Instant::now(), |context| {
+                context.merged.search_body(
+                    &context.index,
+                    &context.search,
+                    arrived.elapsed().as_millis(),
+                )
+            });
         let mut page = page.inspect_err(|_| self.0.counters.inc("opensearch.scroll_missing"))?;
         page["_scroll_id"] = id.into();
-        Ok(ok(&page))
+        Ok(ok_response(&page))
     }
 
-    pub(super) fn free(&self, all: bool, request: &Request) -> Answered {
+    /// Frees the scroll contexts that the body names, or all.
+    pub(super) fn free_scrolls(&self, all: bool, request: &Request) -> ResponseResult {
         let body = json_body(&request.body)?;
         let ids: Vec<String> = match &body["scroll_id"] {
             Value::String(id) => vec![id.clone()],
@@ -43,7 +50,7 @@
                 .map(str::to_owned)
                 .collect(),
             _ if all => vec![],
-            _ => return Err(illegal("scroll_id is missing".into())),
+            _ => return Err(illegal_argument("scroll_id is missing".into())),
         };
         let freed = self
             .scrolls()
--- a/crates/coordinator/src/front/opensearch/scroll.rs
+++ b/crates/coordinator/src/front/opensearch/scroll.rs
@@ -1,41 +1,41 @@
-//! Scroll contexts: what is left of a search's hits, kept for a while. They live and die with this
-//! process, and their ids say so.
+//! Scroll contexts: the remaining hits of a search, kept for a limited time. They exist in this process only; their ids
+//! contain its incarnation.
 
-use super::answer::{Failure, Merged};
+use super::answer::{Failure, MergedHits};
 use super::dsl::Search;
 use base64::{engine::general_purpose::URL_SAFE_NO_PAD, Engine};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Longest time that a context is kept without use.
-pub const LONGEST: Duration = Duration::from_secs(300);
-/// Hits of one district that a context may hold.
-pub const MOST_HITS: usize = 1_000;
+/// Maximum time that a context is kept without use.
+pub const MAX_KEEP_ALIVE: Duration = Duration::from_secs(300);
+/// Maximum number of hits of one district that a context holds.
+pub const MAX_HITS_PER_DISTRICT: usize = 1_000;
 
-/// Bytes of hosts' answers behind all contexts; in memory they take several times as much.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of the hosts' answers behind all contexts, in bytes. Parsed in memory they take several times as much.
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// One context.
-pub struct Context {
-    /// The index.
+/// A scroll context.
+pub struct ScrollContext {
+    /// The name of the index.
     pub index: String,
-    /// The search; its `from` moves on with each page.
+    /// The search; each page increases its `from`.
     pub search: Search,
-    /// All its hits.
-    pub merged: Merged,
-    keep: Duration,
-    until: Instant,
+    /// All hits of the search.
+    pub merged: MergedHits,
+    keep_alive: Duration,
+    expires_at: Instant,
 }
 
-/// All contexts of this process, capped.
-pub struct Scrolls {
+/// All scroll contexts of this process, within limits on their number and bytes.
+pub struct ScrollContexts {
     incarnation: u64,
-    next: u64,
-    most: usize,
-    open: BTreeMap<u64, Context>,
+    last_number: u64,
+    max_contexts: usize,
+    open: BTreeMap<u64, ScrollContext>,
 }
 
-fn missing(id: &str) -> Failure {
+fn missing_context(id: &str) -> Failure {
     Failure::new(
         404,
         "search_context_missing_exception",
@@ -43,36 +43,41 @@
     )
 }
 
-impl Scrolls {
-    /// No contexts yet; at most `most` at once. `incarnation` must be new with each start.
-    pub fn new(incarnation: u64, most: usize) -> Self {
+impl ScrollContexts {
+    /// Creates an empty set of at most `max_contexts` contexts. `incarnation` must differ at each start of the process.
+    pub fn new(incarnation: u64, max_contexts: usize) -> Self {
         Self {
             incarnation,
-            next: 0,
-            most,
+            last_number: 0,
+            max_contexts,
             open: BTreeMap::new(),
         }
     }
 
     fn expire(&mut self, now: Instant) {
-        self.open.retain(|_, c| c.until > now);
+        self.open.retain(|_, c| c.expires_at > now);
     }
 
-    /// Checks whether there is room for one more context.
+    /// Checks whether a further context may be opened.
     ///
     /// # Errors
-    /// 429 if as many are open as may be, or they hold as many bytes as they may.
-    pub fn room(&mut self, now: Instant) -> Result<(), Failure> {
+    /// 429 if the limit on open contexts or on their bytes is reached.
+    pub fn check_room(&mut self, now: Instant) -> Result<(), Failure> {
         self.expire(now);
         let bytes: usize = self.open.values().map(|c| c.merged.bytes).sum();
-        if self.open.len() < self.most && bytes < MOST_BYTES {
+        if self.open.len() < self.max_contexts && bytes < MAX_ANSWER_BYTES {
             return Ok(());
         }
         let reason = format!(
             "Trying to create too many scroll contexts. Must be less than or equal to: [{}].",
-            self.most
+            self.max_contexts
         );
-        let first = self.open.values().map(|c| c.until).min().unwrap_or(now);
+        let first = self
+            .open
+            .values()
+            .map(|c| c.expires_at)
+            .min()
+            .unwrap_or(now);
         let retry_after = Some((first - now).max(Duration::from_millis(50)));
         Err(Failure {
             retry_after,
@@ -80,33 +85,36 @@
         })
     }
 
-    /// Keeps the rest of an answer in a context. Returns the context's id.
+    /// Opens a context for the hits of a search. Returns the context's id.
     ///
     /// # Errors
-    /// As [`Scrolls::room`].
+    /// As [`ScrollContexts::check_room`].
     pub fn open(
         &mut self,
         index: &str,
         search: Search,
-        merged: Merged,
-        keep: Duration,
+        merged: MergedHits,
+        keep_alive: Duration,
         now: Instant,
     ) -> Result<String, Failure> {
-        self.room(now)?;
-        self.next += 1;
-        let context = Context {
+        self.check_room(now)?;
+        self.last_number += 1;
+        let context = ScrollContext {
             index: index.to_owned(),
             search,
             merged,
-            keep,
-            until: now + keep,
+            keep_alive,
+            expires_at: now + keep_alive,
         };
-        self.open.insert(self.next, context);
-        Ok(URL_SAFE_NO_PAD.encode(format!("{:016x}{:016x}", self.incarnation, self.next)))
+        self.open.insert(self.last_number, context);
+        Ok(URL_SAFE_NO_PAD.encode(format!(
+            "{:016x}{:016x}",
+            self.incarnation, self.last_number
+        )))
     }
 
-    /// The number behind an id. One of another incarnation is as good as expired: its coordinator has
-    /// gone and taken the context along.
+    /// The number of the context with this id. An id of another incarnation counts as expired, as its contexts ended with
+    /// its process.
     fn number(&self, id: &str) -> Result<u64, Failure> {
         let unreadable = || {
             Failure::new(
@@ -124,34 +132,37 @@
         if half(incarnation)? == self.incarnation {
             half(number)
         } else {
-            Err(missing(id))
+            Err(missing_context(id))
         }
     }
 
-    /// Moves a context on by a page and gives it to `read`.
+    /// Advances a context by one page and calls `read` with it.
     ///
     /// # Errors
-    /// 400 if the id can't be read, 404 if there is no such context any more.
-    pub fn next<T>(
+    /// 400 if the id can't be parsed, 404 if there is no such context.
+    pub fn next_page<T>(
         &mut self,
         id: &str,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
         now: Instant,
-        read: impl FnOnce(&Context) -> T,
+        read: impl FnOnce(&ScrollContext) -> T,
     ) -> Result<T, Failure> {
         let number = self.number(id)?;
         self.expire(now);
-        let context = self.open.get_mut(&number).ok_or_else(|| missing(id))?;
-        context.keep = keep.unwrap_or(context.keep);
-        context.until = now + context.keep;
+        let context = self
+            .open
+            .get_mut(&number)
+            .ok_or_else(|| missing_context(id))?;
+        context.keep_alive = keep_alive.unwrap_or(context.keep_alive);
+        context.expires_at = now + context.keep_alive;
         context.search.from += context.search.size;
         Ok(read(context))
     }
 
-    /// Frees contexts; `None` means all. Returns how many were freed.
+    /// Frees the contexts with these ids, or all if `None`. Returns how many were freed.
     ///
     /// # Errors
-    /// 400 if an id can't be read.
+    /// 400 if an id can't be parsed.
     pub fn free(&mut self, ids: Option<&[String]>, now: Instant) -> Result<usize, Failure> {
         self.expire(now);
         let Some(ids) = ids else {
--- a/crates/coordinator/src/front/opensearch/search.rs
+++ b/crates/coordinator/src/front/opensearch/search.rs
@@ -1,9 +1,11 @@
-//! Searches, alone and counted: one query for the core, one final answer.
+//! The `_search` and `_count` requests, and the execution of a search as one query of the core.
 
-use super::answer::{merge, Failure, Merged};
+use super::answer::{merge, Failure, MergedHits};
 use super::dsl::Search;
 use super::params::{json_body, keep_alive, Params};
-use super::{hosts, illegal, ok, scroll, Answered, Index, OpenSearch, Terms};
+use super::{
+    hosts, illegal_argument, ok_response, scroll, Index, OpenSearch, ResponseResult, SearchOptions,
+};
 use crate::core::{Answer, MissingPart, NewPart, NewQuery};
 use crate::counters::End;
 use crate::interface::{Cause, Idempotency, Outcome, QueryClass, TenantId};
@@ -14,41 +16,41 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// By how much a sum of shares may fall short, as they are rounded.
+/// Maximum shortfall of a share of parts by rounding.
 const MAX_ROUNDING_ERROR: f64 = 1e-9;
 
 impl OpenSearch {
-    /// Runs one search over its districts: one query for the core, one final answer.
-    pub(super) async fn run(
+    /// Runs one search over its districts as one query of the core, and merges the hosts' hits.
+    pub(super) async fn run_search(
         &self,
         index_name: String,
         search: Search,
-        terms: Terms,
-    ) -> Result<Merged, Failure> {
+        options: SearchOptions,
+    ) -> Result<MergedHits, Failure> {
         let index = self.index(&index_name)?;
-        let shards = shards(index, &search);
+        let shards = shards_to_search(index, &search);
         if shards.is_empty() {
-            return Ok(Merged::default());
+            return Ok(MergedHits::default());
         }
         let class = &self.0.classes[index.class.0 as usize];
-        if class.idempotency != Idempotency::Idempotent && terms.key.is_none() {
+        if class.idempotency != Idempotency::Idempotent && options.key.is_none() {
             let name = index.config.key_header.as_deref().unwrap_or("key_header");
-            return Err(illegal(format!(
+            return Err(illegal_argument(format!(
                 "index [{index_name}] needs a key in the header [{name}]"
             )));
         }
         let shard_count = shards.len();
-        let query = self.new_query(&index_name, &search, &terms, shards)?;
+        let query = self.new_query(&index_name, &search, &options, shards)?;
         self.0.counters.inc("opensearch.searches");
         let result = match self.0.core.submit(query).await {
-            Some(answer) => self.read_answer(answer, class, &search, &terms, shard_count),
+            Some(answer) => self.read_answer(answer, class, &search, &options, shard_count),
             None => Err(Failure::new(
                 503,
                 "node_closed_exception",
                 "the coordinator is stopping",
             )),
         };
-        // A search in a request of many has no answer of its own to be counted with: it ends here.
+        // Counted here, not with the HTTP response: a search of an `_msearch` has no response of its own.
         let end = match &result {
             Ok(_) => End::Ok,
             Err(failure) if matches!(failure.status, 429 | 503) => End::Shed,
@@ -58,32 +60,32 @@
         result
     }
 
-    /// The query for the core.
+    /// Creates the core's query for a search, with one part of equal weight for each shard.
     fn new_query(
         &self,
         index_name: &str,
         search: &Search,
-        terms: &Terms,
+        options: &SearchOptions,
         shards: Vec<u32>,
     ) -> Result<NewQuery, Failure> {
         let index = self.index(index_name)?;
         let class = &self.0.classes[index.class.0 as usize];
         let wait = search
             .timeout
-            .or(terms.timeout)
+            .or(options.timeout)
             .unwrap_or(class.client_timeout)
             .min(class.client_timeout);
-        let number = self.0.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.0.next_query.fetch_add(1, Ordering::Relaxed);
         let weight = 1.0 / shards.len() as f64;
-        let tenant = terms.tenant.as_ref().and_then(|name| self.tenant(name));
+        let tenant = options.tenant.as_ref().and_then(|name| self.tenant(name));
         Ok(NewQuery {
             name: format!("{:x}-{number:x}", self.0.incarnation).into(),
             class: index.class,
             tenant: tenant.or(index.tenant),
-            arrived_at: terms.arrived,
-            client_wait: terms.left.map_or(wait, |left| left.min(wait)),
+            arrived_at: options.arrived,
+            client_wait: options.left.map_or(wait, |left| left.min(wait)),
             is_retry: None,
-            idempotency_key: terms.key.as_deref().map(Arc::from),
+            idempotency_key: options.key.as_deref().map(Arc::from),
             parts: shards
                 .into_iter()
                 .map(|shard| NewPart { shard, weight })
@@ -102,20 +104,20 @@
         answer: Answer,
         class: &QueryClass,
         search: &Search,
-        terms: &Terms,
+        options: &SearchOptions,
         shard_count: usize,
-    ) -> Result<Merged, Failure> {
+    ) -> Result<MergedHits, Failure> {
         match answer {
             Answer::Served {
-                complete: full,
-                parts: pieces,
+                complete,
+                parts,
                 missing,
             } => {
-                let merged = merge(&pieces, missing, &search.sort);
-                if merged.failures.is_empty() && full {
+                let merged = merge(&parts, missing, &search.sort);
+                if merged.failures.is_empty() && complete {
                     return Ok(merged);
                 }
-                self.partial_answer(merged, class, terms, shard_count)
+                self.partial_answer(merged, class, options, shard_count)
             }
             Answer::NameTaken => Err(Failure::new(
                 409,
@@ -131,28 +133,28 @@
                 retry_after,
                 cause,
                 missing,
-            } => Err(failure(retry_after, cause, missing)),
+            } => Err(query_failure(retry_after, cause, missing)),
         }
     }
 
-    /// An answer that lacks districts is given only if the client and the class allow it, and never below the
-    /// class's least share.
+    /// Accepts an answer that lacks districts only if the client and the class allow it, and not below the class's
+    /// minimum share.
     fn partial_answer(
         &self,
-        merged: Merged,
+        merged: MergedHits,
         class: &QueryClass,
-        terms: &Terms,
+        options: &SearchOptions,
         shard_count: usize,
-    ) -> Result<Merged, Failure> {
+    ) -> Result<MergedHits, Failure> {
         let share = merged.successful as f64 / shard_count as f64;
         let is_enough =
             class.min_share < class.complete_share && share + MAX_ROUNDING_ERROR >= class.min_share;
-        if terms.allow_partial && is_enough {
+        if options.allow_partial && is_enough {
             self.0.counters.inc("opensearch.partial");
             return Ok(merged);
         }
         self.0.counters.inc("opensearch.partial_not_allowed");
-        let (status, kind) = if merged.late() {
+        let (status, kind) = if merged.any_timed_out() {
             (504, "timeout_exception")
         } else {
             (503, "search_phase_execution_exception")
@@ -167,46 +169,50 @@
         &self,
         name: &str,
         request: &Request,
-    ) -> Pin<Box<dyn Future<Output = Answered> + Send>> {
-        let front = self.clone();
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
+        let api = self.clone();
         let prepared = self.prepare(name, request);
         let name = name.to_owned();
         Box::pin(async move {
-            let (mut search, terms, keep) = prepared?;
-            let arrived = terms.arrived;
-            let Some(keep) = keep else {
-                let merged = front.run(name.clone(), search.clone(), terms).await?;
-                return Ok(ok(&merged.search(
+            let (mut search, options, keep_alive) = prepared?;
+            let arrived = options.arrived;
+            let Some(keep_alive) = keep_alive else {
+                let merged = api
+                    .run_search(name.clone(), search.clone(), options)
+                    .await?;
+                return Ok(ok_response(&merged.search_body(
                     &name,
                     &search,
                     arrived.elapsed().as_millis(),
                 )));
             };
             if search.from > 0 || search.size == 0 {
-                return Err(illegal(
+                return Err(illegal_argument(
                     "using [from], or a [size] of 0, is not allowed in a scroll context".into(),
                 ));
             }
-            front.scrolls().room(Instant::now())?;
+            api.scrolls().check_room(Instant::now())?;
             search
                 .forward
-                .insert("size".into(), scroll::MOST_HITS.into());
-            let merged = front.run(name.clone(), search.clone(), terms).await?;
+                .insert("size".into(), scroll::MAX_HITS_PER_DISTRICT.into());
+            let merged = api
+                .run_search(name.clone(), search.clone(), options)
+                .await?;
             let hits = merged.hits.len();
-            // A context holds all its hits: one that silently held fewer would end too soon.
+            // A context must hold all hits: with fewer, the scroll would end too early without an error.
             if merged.total() > hits as u64 {
-                let most = scroll::MOST_HITS;
-                return Err(illegal(format!(
-                    "a scroll context holds at most [{most}] hits of a district: narrow the query"
+                let limit = scroll::MAX_HITS_PER_DISTRICT;
+                return Err(illegal_argument(format!(
+                    "a scroll context holds at most [{limit}] hits of a district: narrow the query"
                 )));
             }
-            let mut body = merged.search(&name, &search, arrived.elapsed().as_millis());
-            let id = front
+            let mut body = merged.search_body(&name, &search, arrived.elapsed().as_millis());
+            let id = api
                 .scrolls()
-                .open(&name, search, merged, keep, Instant::now())?;
-            front.0.counters.inc("opensearch.scrolls");
+                .open(&name, search, merged, keep_alive, Instant::now())?;
+            api.0.counters.inc("opensearch.scrolls");
             body["_scroll_id"] = id.into();
-            Ok(ok(&body))
+            Ok(ok_response(&body))
         })
     }
 
@@ -214,7 +220,7 @@
         &self,
         name: &str,
         request: &Request,
-    ) -> Result<(Search, Terms, Option<Duration>), Failure> {
+    ) -> Result<(Search, SearchOptions, Option<Duration>), Failure> {
         let index = self.index(name)?;
         let known = [
             "timeout",
@@ -224,44 +230,48 @@
             "from",
         ];
         let params = Params::read(request, &known)?;
-        let terms = self.terms(request, &params, index)?;
+        let options = self.search_options(request, &params, index)?;
         let mut body = json_body(&request.body)?;
         for name in ["size", "from"] {
             if let (Some(text), Some(map)) = (params.get(name), body.as_object_mut()) {
-                let n: u64 = text
-                    .parse()
-                    .map_err(|_| illegal(format!("Failed to parse int parameter [{name}]")))?;
+                let n: u64 = text.parse().map_err(|_| {
+                    illegal_argument(format!("Failed to parse int parameter [{name}]"))
+                })?;
                 map.insert(name.to_owned(), n.into());
             }
         }
-        let search = self.reader(index).search(&body)?;
-        let keep = params.get("scroll").map(keep_alive).transpose()?;
-        Ok((search, terms, keep))
+        let search = self.search_parser(index).search(&body)?;
+        let keep_alive = params.get("scroll").map(keep_alive).transpose()?;
+        Ok((search, options, keep_alive))
     }
 
     pub(super) fn count(
         &self,
         name: &str,
         request: &Request,
-    ) -> Pin<Box<dyn Future<Output = Answered> + Send>> {
-        let front = self.clone();
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
+        let api = self.clone();
         let prepared = (|| -> Result<_, Failure> {
             let index = self.index(name)?;
             let params = Params::read(request, &["allow_partial_search_results"])?;
-            let terms = self.terms(request, &params, index)?;
-            Ok((self.reader(index).count(&json_body(&request.body)?)?, terms))
+            let options = self.search_options(request, &params, index)?;
+            Ok((
+                self.search_parser(index)
+                    .count(&json_body(&request.body)?)?,
+                options,
+            ))
         })();
         let name = name.to_owned();
         Box::pin(async move {
-            let (search, terms) = prepared?;
-            let merged = front.run(name.clone(), search, terms).await?;
-            Ok(ok(&merged.count(&name)))
+            let (search, options) = prepared?;
+            let merged = api.run_search(name.clone(), search, options).await?;
+            Ok(ok_response(&merged.count_body(&name)))
         })
     }
 }
 
-/// The shards that may hold hits. A district that is not configured has no documents.
-fn shards(index: &Index, search: &Search) -> Vec<u32> {
+/// The shards that may hold hits. Districts that are not configured have no documents and are left out.
+fn shards_to_search(index: &Index, search: &Search) -> Vec<u32> {
     let districts = &index.config.districts;
     match &search.districts {
         None => districts.values().copied().collect(),
@@ -272,9 +282,13 @@
     }
 }
 
-/// The wire form of a query that was refused or failed.
-fn failure(retry_after: Option<Duration>, cause: Cause, missing: Vec<MissingPart>) -> Failure {
-    // A district of which no listed host can be reached is as good as one that no host holds.
+/// The error response for a query that was rejected or failed.
+fn query_failure(
+    retry_after: Option<Duration>,
+    cause: Cause,
+    missing: Vec<MissingPart>,
+) -> Failure {
+    // A district whose listed hosts can't be reached is reported like one that no host holds.
     let is_unreached = missing
         .iter()
         .any(|part| matches!(part.last_outcome, None | Some(Outcome::ConnectFailed)));
--- a/crates/coordinator/src/front/platform.rs
+++ b/crates/coordinator/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's own front: `POST /<class>` with the parts in JSON.
+//! The platform's API: `POST /<class>` with the parts in JSON, and the health and counters pages.
 
 use crate::core::{Answer, CoreHandle, NewPart, NewQuery};
 use crate::counters::{Counters, End};
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time that a client may ask to wait, in milliseconds.
+/// Maximum wait that a client may ask for, in milliseconds.
 const MAX_WAIT_MS: u64 = 600_000;
-/// Longest request id and idempotency key.
+/// Maximum length of a request id or idempotency key, in bytes.
 const MAX_ID_BYTES: usize = 128;
-/// By how much the sum of the parts' shares may differ from 1, as they are rounded.
+/// Maximum difference of the sum of the parts' fractions from 1, as clients round them.
 const MAX_ROUNDING_ERROR: f64 = 1e-3;
 
 #[derive(Deserialize)]
@@ -31,12 +31,12 @@
 }
 
 #[derive(Serialize)]
-struct RawPiece<'a> {
+struct RawPartAnswer<'a> {
     tablet: u32,
     cell: &'a str,
 }
 
-/// What the front needs to know of the site.
+/// The platform's API for the classes and tenants of the site.
 pub struct Platform {
     core: CoreHandle,
     counters: Counters,
@@ -44,32 +44,34 @@
     tenants: Vec<String>,
     marks_retry: bool,
     max_parts: usize,
-    /// Number of shards, and the classes whose parts go by a key.
+    /// The number of shards, if it is known; shard numbers are below it.
     shards: Option<u32>,
+    /// Whether requests need an idempotency key, by class.
     keyed: Vec<bool>,
-    /// What health goes by; without an operator's address a process that answers is healthy.
+    /// The readiness that health checks report; `None` without an operator's address, where any process that answers
+    /// is healthy.
     readiness: Option<Readiness>,
 }
 
-/// Why a request is no query.
+/// The reason why a request is not a valid query.
 #[derive(Debug, thiserror::Error, PartialEq)]
-enum Bad {
+enum RequestError {
     #[error("{0}")]
-    Request(String),
+    Invalid(String),
     #[error("no such path")]
-    Path,
+    UnknownPath,
     #[error("only POST here")]
-    Method,
+    WrongMethod,
 }
 
-impl Bad {
-    fn because(reason: &str) -> Self {
-        Self::Request(reason.to_owned())
+impl RequestError {
+    fn invalid(reason: &str) -> Self {
+        Self::Invalid(reason.to_owned())
     }
 }
 
 impl Platform {
-    /// The front of this core, for these classes and tenants.
+    /// Creates the API, which sends its queries to `core`.
     pub fn new(
         core: CoreHandle,
         counters: Counters,
@@ -94,27 +96,27 @@
         }
     }
 
-    /// Reads a request as a query.
-    fn query(&self, request: &Request) -> Result<NewQuery, Bad> {
+    /// Parses a request into a query.
+    fn parse_query(&self, request: &Request) -> Result<NewQuery, RequestError> {
         let path = request.path.trim_matches('/');
         let class = self
             .classes
             .iter()
             .position(|name| name == path)
-            .ok_or(Bad::Path)?;
+            .ok_or(RequestError::UnknownPath)?;
         if request.method != "POST" {
-            return Err(Bad::Method);
+            return Err(RequestError::WrongMethod);
         }
         let headers = &request.headers;
         if headers.get("Req-Kind").unwrap_or(path) != path {
-            return Err(Bad::because("Req-Kind is not the path's class"));
+            return Err(RequestError::invalid("Req-Kind is not the path's class"));
         }
         let name = request_id(request)?;
         let wait = requested_wait(request)?;
         let key = self.idempotency_key(request, class)?;
-        let body: RawBody =
-            serde_json::from_slice(&request.body).map_err(|e| Bad::Request(e.to_string()))?;
-        let parts = self.parts(body.tablets)?;
+        let body: RawBody = serde_json::from_slice(&request.body)
+            .map_err(|e| RequestError::Invalid(e.to_string()))?;
+        let parts = self.parse_parts(body.tablets)?;
         let owner = headers.get("Req-Owner");
         let tenant = owner.and_then(|owner| self.tenants.iter().position(|name| name == owner));
         let is_retry = headers.get("Req-Retry") == Some("1");
@@ -135,33 +137,33 @@
         &self,
         request: &'a Request,
         class: usize,
-    ) -> Result<Option<&'a str>, Bad> {
+    ) -> Result<Option<&'a str>, RequestError> {
         let key = request.headers.get("Idempotency-Key");
         if key.is_some_and(|key| !is_plain(key) || key.contains(',')) {
-            return Err(Bad::because("Idempotency-Key can't be used"));
+            return Err(RequestError::invalid("Idempotency-Key can't be used"));
         }
-        // Without a key a retry could take effect twice.
+        // Without an idempotency key a retry could take effect twice.
         if self.keyed[class] && key.is_none() {
-            return Err(Bad::because("Idempotency-Key is missing"));
+            return Err(RequestError::invalid("Idempotency-Key is missing"));
         }
         Ok(key)
     }
 
-    fn parts(&self, raw: Vec<RawPart>) -> Result<Vec<NewPart>, Bad> {
+    fn parse_parts(&self, raw: Vec<RawPart>) -> Result<Vec<NewPart>, RequestError> {
         if raw.is_empty() || raw.len() > self.max_parts {
-            return Err(Bad::because("'tablets' has no parts or too many"));
+            return Err(RequestError::invalid("'tablets' has no parts or too many"));
         }
         let (mut seen, mut sum) = (BTreeSet::new(), 0.0);
         let mut parts = Vec::with_capacity(raw.len());
         for part in raw {
             if !seen.insert(part.tablet) {
-                return Err(Bad::because("'tablet' names a shard twice"));
+                return Err(RequestError::invalid("'tablet' names a shard twice"));
             }
             if self.shards.is_some_and(|shards| part.tablet >= shards) {
-                return Err(Bad::because("'tablet' names no shard"));
+                return Err(RequestError::invalid("'tablet' names no shard"));
             }
             if !(part.fraction > 0.0 && part.fraction <= 1.0) {
-                return Err(Bad::because("'fraction' is no share"));
+                return Err(RequestError::invalid("'fraction' is no share"));
             }
             sum += part.fraction;
             parts.push(NewPart {
@@ -170,51 +172,52 @@
             });
         }
         if (sum - 1.0).abs() > MAX_ROUNDING_ERROR {
-            return Err(Bad::because("the 'fraction's don't add up to 1"));
+            return Err(RequestError::invalid("the 'fraction's don't add up to 1"));
         }
         Ok(parts)
     }
 }
 
-/// Whether a text can stand in the hosts' lines, where a space or a line's end would begin another field.
+/// Whether a text can be a field in the line protocol with hosts, where white space would start another field.
 fn is_plain(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_ID_BYTES
         && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-fn request_id(request: &Request) -> Result<&str, Bad> {
+fn request_id(request: &Request) -> Result<&str, RequestError> {
     let id = request
         .headers
         .get("Req-Id")
-        .ok_or_else(|| Bad::because("Req-Id is missing"))?;
+        .ok_or_else(|| RequestError::invalid("Req-Id is missing"))?;
     if !is_plain(id) {
-        return Err(Bad::because("Req-Id can't be used"));
+        return Err(RequestError::invalid("Req-Id can't be used"));
     }
     Ok(id)
 }
 
-/// How long the client wants to wait.
-fn requested_wait(request: &Request) -> Result<Duration, Bad> {
+/// The wait that the client asks for, of 1 to [`MAX_WAIT_MS`] milliseconds.
+fn requested_wait(request: &Request) -> Result<Duration, RequestError> {
     request
         .headers
         .get("Req-Deadline-Ms")
         .and_then(|text| text.parse::<u64>().ok())
         .filter(|wait_ms| (1..=MAX_WAIT_MS).contains(wait_ms))
         .map(Duration::from_millis)
-        .ok_or_else(|| Bad::because("Req-Deadline-Ms is missing or no time"))
+        .ok_or_else(|| RequestError::invalid("Req-Deadline-Ms is missing or no time"))
 }
 
-fn served(full: bool, pieces: &[crate::core::PartAnswer]) -> Option<Bytes> {
+/// The JSON body of a served query; `None` if a value is not UTF-8.
+fn served_body(complete: bool, parts: &[crate::core::PartAnswer]) -> Option<Bytes> {
     let mut out = BytesMut::new();
-    out.put_slice(format!("{{\"full\":{full},\"pieces\":[").as_bytes());
-    for (n, p) in pieces.iter().enumerate() {
-        // A value that is no text can't be passed on as it was given.
-        let cell = std::str::from_utf8(&p.value).ok()?;
-        out.put_slice(if n > 0 { b"," } else { b"" });
+    out.put_slice(format!("{{\"full\":{complete},\"pieces\":[").as_bytes());
+    for (index, part) in parts.iter().enumerate() {
+        // A value that is not UTF-8 can't be passed on unchanged in JSON.
+        let cell = std::str::from_utf8(&part.value).ok()?;
+        out.put_slice(if index > 0 { b"," } else { b"" });
         out.put_slice(
-            &serde_json::to_vec(&RawPiece {
-                tablet: p.shard,
+            &serde_json::to_vec(&RawPartAnswer {
+                tablet: part.shard,
                 cell,
             })
             .ok()?,
@@ -224,7 +227,7 @@
     Some(out.freeze())
 }
 
-/// The wire form of an answer to a query of this class.
+/// The HTTP response to a query of this class; `None` means that the core has ended.
 fn response(answer: Option<Answer>, class: usize) -> Response {
     let (response, end) = match answer {
         Some(Answer::NameTaken) => (
@@ -232,10 +235,8 @@
             End::Errors,
         ),
         Some(Answer::Served {
-            complete: full,
-            parts: pieces,
-            ..
-        }) => match served(full, &pieces) {
+            complete, parts, ..
+        }) => match served_body(complete, &parts) {
             Some(body) => (Response::json(200, body), End::Ok),
             None => (
                 Response::text(502, "a host's value is no text\n"),
@@ -257,38 +258,43 @@
 
 impl Service for Platform {
     fn answer(&self, request: Request) -> Answering {
-        let done = |r: Response| -> Answering { Box::pin(std::future::ready(r)) };
+        let ready_response =
+            |response: Response| -> Answering { Box::pin(std::future::ready(response)) };
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/_health") => {
-                return done(
+                return ready_response(
                     match self
                         .readiness
                         .as_ref()
                         .and_then(Readiness::not_ready_reason)
                     {
                         None => Response::text(200, "ok\n"),
-                        Some(why) => Response::text(503, format!("{why}\n")),
+                        Some(reason) => Response::text(503, format!("{reason}\n")),
                     },
                 )
             }
-            ("GET", "/_counters") => return done(Response::text(200, self.counters.text())),
-            (_, "/_health" | "/_counters") => return done(self.error(405, "only GET here")),
+            ("GET", "/_counters") => {
+                return ready_response(Response::text(200, self.counters.text()))
+            }
+            (_, "/_health" | "/_counters") => {
+                return ready_response(self.error(405, "only GET here"))
+            }
             _ => {}
         }
-        match self.query(&request) {
+        match self.parse_query(&request) {
             Ok(query) => {
                 let class = query.class.0 as usize;
-                let ticket = self.core.submit(query);
-                Box::pin(async move { response(ticket.await, class) })
+                let answer = self.core.submit(query);
+                Box::pin(async move { response(answer.await, class) })
             }
             Err(e) => {
                 self.counters.inc("requests.bad");
                 let status = match e {
-                    Bad::Request(_) => 400,
-                    Bad::Path => 404,
-                    Bad::Method => 405,
+                    RequestError::Invalid(_) => 400,
+                    RequestError::UnknownPath => 404,
+                    RequestError::WrongMethod => 405,
                 };
-                done(self.error(status, &e.to_string()))
+                ready_response(self.error(status, &e.to_string()))
             }
         }
     }
@@ -299,7 +305,7 @@
 
     fn no_slot(&self, request: &Request) -> Response {
         let answer = self.error(503, "too many clients");
-        match self.query(request) {
+        match self.parse_query(request) {
             Ok(query) => answer.ends(query.class.0 as usize, End::Shed),
             Err(_) => answer,
         }
--- a/crates/coordinator/tests/opensearch_dsl.rs
+++ b/crates/coordinator/tests/opensearch_dsl.rs
@@ -1,23 +1,23 @@
-//! Search bodies of OpenSearch's query language: what is taken and what is refused.
+//! Search bodies of OpenSearch's query language: supported and refused clauses.
 
-use coordinator::front::opensearch::dsl::{Bad, Reader};
+use coordinator::front::opensearch::dsl::{QueryError, SearchParser};
 use serde_json::json;
 use std::time::Duration;
 
-const READER: Reader = Reader {
+const PARSER: SearchParser = SearchParser {
     district_field: "district",
     location_field: "location",
 };
 
 #[test]
-fn search_when_understood_then_its_window_starts_at_the_first_hit() {
+fn search_when_supported_then_its_window_starts_at_the_first_hit() {
     let near = json!({"distance": "2km", "location": {"lat": 33.59, "lon": -7.61}});
     let filter = json!([{"terms": {"district": ["anfa", "maarif"]}}, {"term": {"free": true}},
                         {"term": {"district": "anfa"}}, {"geo_distance": near}]);
     let sort = json!([{"_geo_distance": {"location": [-7.61, 33.59], "order": "asc"}}, {"rating": "desc"}]);
     let query = json!({"bool": {"filter": filter}});
     let body = json!({"query": query, "from": 5, "size": 3, "sort": sort, "timeout": "1500ms"});
-    let s = READER.search(&body).unwrap();
+    let s = PARSER.search(&body).unwrap();
     assert_eq!(s.districts, Some(["anfa".to_owned()].into()));
     assert_eq!(
         (s.from, s.size, s.timeout),
@@ -33,9 +33,9 @@
     );
 }
 
-/// A clause that was passed over in silence would give wrong answers.
+/// A clause that was ignored without an error would give wrong answers.
 #[test]
-fn clause_when_not_understood_then_the_error_names_it() {
+fn clause_when_unsupported_then_the_error_names_it() {
     for (body, names) in [
         (json!({"aggs": {}}), "[aggs]"),
         (json!({"query": {"fuzzy": {"a": "b"}}}), "[fuzzy]"),
@@ -58,7 +58,7 @@
         (json!({"size": 1_001}), "[1000]"),
         (json!([]), "[request]"),
     ] {
-        let Bad(_, reason) = READER.search(&body).unwrap_err();
+        let QueryError(_, reason) = PARSER.search(&body).unwrap_err();
         assert!(reason.contains(names), "{body}: {reason}");
     }
 }
