--- a/crates/coordinator/src/counters.rs
+++ b/crates/coordinator/src/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of what is taken, sent and answered, printed on request and at exit. Each core counts in a
-//! stripe of its own, so that no two wait for one lock; what is shown is the sum. The operators' figures
-//! are among them: one count, whichever page shows it.
+//! Counters of accepted requests, sent parts and answers, printed on request and at exit. Each core counts in its own
+//! stripe, so that cores don't wait for each other's lock; the sums are shown. The operators' figures are computed from
+//! the same counters, so that all pages show the same values.
 
 use crate::cores::current_core;
 use std::collections::BTreeMap;
@@ -8,57 +8,58 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 
-/// How a request ended, as its client was told.
+/// The result of a request in its client's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served, whole or in part.
+    /// Served, completely or in part.
     Ok,
-    /// Refused.
+    /// Refused, for lack of capacity.
     Shed,
     /// Failed.
     Errors,
 }
 
+/// Each result with its name in the operators' figures.
 const ENDS: [(End, &str); 3] = [
     (End::Ok, "ok"),
     (End::Shed, "shed"),
     (End::Errors, "errors"),
 ];
 
-/// What a core shows of its host list.
+/// The numbers of hosts in a core's host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// Hosts in the list: all but those that are gone.
+    /// Hosts in the list, without those that are gone.
     pub size: usize,
-    /// Those of them that the module avoids.
+    /// Hosts of these that the decision module avoids.
     pub ejected: usize,
-    /// Those of them that may be sent to.
+    /// Hosts of these that requests may be sent to.
     pub in_service: usize,
 }
 
 #[derive(Debug, Default)]
 struct Stripe {
     named: BTreeMap<&'static str, u64>,
-    /// By class.
+    /// The number of requests by class and by [`End`].
     ends: Vec<[u64; 3]>,
     pool: Pool,
 }
 
 #[derive(Debug)]
-struct Shared {
+struct CounterState {
     stripes: Vec<Mutex<Stripe>>,
     classes: OnceLock<Vec<String>>,
-    /// Requests read whole and not answered yet.
+    /// The number of requests that are read completely and not answered.
     active: AtomicUsize,
 }
 
-/// A set of named counters; clones share it.
+/// A set of named counters. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Counters(Arc<Shared>);
+pub struct Counters(Arc<CounterState>);
 
-/// A request that counts as open until this is dropped.
+/// A guard that counts a request as active until it is dropped.
 #[derive(Debug)]
-pub struct Open(Arc<Shared>);
+pub struct Open(Arc<CounterState>);
 
 impl Drop for Open {
     fn drop(&mut self) {
@@ -73,60 +74,62 @@
 }
 
 impl Counters {
-    /// Counters for so many cores.
+    /// Creates counters for `cores` cores (at least one).
     pub fn striped(cores: usize) -> Self {
         let stripes = (0..cores.max(1)).map(|_| Mutex::default()).collect();
-        Self(Arc::new(Shared {
+        Self(Arc::new(CounterState {
             stripes,
             classes: OnceLock::new(),
             active: AtomicUsize::new(0),
         }))
     }
 
-    /// The classes whose requests are counted; they stand at 0 from now on.
+    /// Sets the names of the classes whose requests are counted, once; their figures are shown from then on, from 0.
     pub fn of_classes(&self, names: &[String]) {
         let _ = self.0.classes.set(names.to_vec());
     }
 
+    /// Locks a stripe, also after a panic of a thread that held the lock.
     fn lock(stripe: &Mutex<Stripe>) -> MutexGuard<'_, Stripe> {
         stripe.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn own(&self) -> MutexGuard<'_, Stripe> {
+    /// The stripe of the current thread's core, locked.
+    fn own_stripe(&self) -> MutexGuard<'_, Stripe> {
         Self::lock(&self.0.stripes[current_core() % self.0.stripes.len()])
     }
 
-    /// Adds one.
+    /// Adds one to a counter of the current core.
     pub fn inc(&self, name: &'static str) {
         self.add(name, 1);
     }
 
-    /// Adds some.
+    /// Adds `n` to a counter of the current core.
     pub fn add(&self, name: &'static str, n: u64) {
-        *self.own().named.entry(name).or_default() += n;
+        *self.own_stripe().named.entry(name).or_default() += n;
     }
 
-    /// A request of a class has got its answer.
+    /// Counts the answer to a request of a class.
     pub fn ended(&self, class: usize, end: End) {
-        let mut own = self.own();
-        if own.ends.len() <= class {
-            own.ends.resize(class + 1, [0; 3]);
+        let mut own_stripe = self.own_stripe();
+        if own_stripe.ends.len() <= class {
+            own_stripe.ends.resize(class + 1, [0; 3]);
         }
-        own.ends[class][end as usize] += 1;
+        own_stripe.ends[class][end as usize] += 1;
     }
 
-    /// A request has been read whole; it is open until what this gives is dropped.
+    /// Counts a completely read request as active until the returned guard is dropped.
     pub fn open(&self) -> Open {
         self.0.active.fetch_add(1, Ordering::Relaxed);
         Open(self.0.clone())
     }
 
-    /// What this core shows of its host list from now on.
+    /// Sets the numbers of the current core's host list.
     pub fn show_pool(&self, pool: Pool) {
-        self.own().pool = pool;
+        self.own_stripe().pool = pool;
     }
 
-    /// The host list: of several cores the least that is in service, and the most that any one avoids.
+    /// The numbers of the host list. Of several cores, the lowest number in service and the highest other numbers.
     pub fn pool(&self) -> Pool {
         let pools = self.0.stripes.iter().map(|s| Self::lock(s).pool);
         let worst = |a: Pool, b: Pool| Pool {
@@ -137,7 +140,7 @@
         pools.reduce(worst).unwrap_or_default()
     }
 
-    /// The present value over all cores; 0 for one that was never counted.
+    /// The sum of a counter over all cores; 0 if it was never counted.
     pub fn get(&self, name: &str) -> u64 {
         self.0
             .stripes
@@ -146,7 +149,7 @@
             .sum()
     }
 
-    /// The present value on one core.
+    /// The value of a counter on one core; 0 if it was never counted.
     pub fn on_core(&self, core: usize, name: &str) -> u64 {
         self.0
             .stripes
@@ -193,8 +196,8 @@
         all
     }
 
-    /// All of them, one `name value` a line: the operators' figures, the others, and where there are several
-    /// cores, each core's own behind the sums, as `core.N.name value`.
+    /// All counters as lines `name value`: the operators' figures, then the other sums, then, with several cores, the
+    /// values of each core as `core.N.name value`.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (name, n) in self.figures() {
@@ -213,7 +216,7 @@
         text
     }
 
-    /// The sums on one line, for the log.
+    /// The sums as `name=value` pairs on one line, for the log.
     pub fn line(&self) -> String {
         let pairs: Vec<String> = self
             .sums()
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,12 +1,13 @@
-//! The coordinator in service: it reads many shards for one query and answers from what comes back.
+//! The coordinator: it sends the parts of each query to many shards and answers from the values that come back.
 //!
-//! - [`decision`]: every decision, sans-I/O. It takes events with their time and returns actions.
+//! - [`decision`]: all decisions, without I/O. It takes events with their time and returns actions.
 //! - [`interface`]: the types of these events and actions.
-//! - [`core`]: queries, attempts and timers round the decision module, one table for each processor core.
-//! - [`front`]: the listeners for clients. [`net`]: the connections to hosts, and the host list.
+//! - [`core`]: the queries, attempts and timers around the decision module, one table for each core.
+//! - [`front`]: the APIs for clients. [`net`]: connections of clients and to hosts, and the sources of the host list.
 //! - [`peers`]: the load that coordinators publish to each other.
-//! - [`cores`]: the threads, one for each processor core. [`serve`]: the program.
-//! - [`ops`], [`counters`], [`logger`], [`config`]: operation.
+//! - [`cores`]: several cores, with one thread each. [`serve`]: the process, from start to stop.
+//! - [`ops`]: the operator's address, manual ejection and hot restart. [`config`]: the configuration.
+//! - [`counters`]: named counters. [`logger`]: the log on standard error.
 //!
 //! The decision module alone, on scripted events:
 //!
--- a/crates/coordinator/src/logger.rs
+++ b/crates/coordinator/src/logger.rs
@@ -1,4 +1,4 @@
-//! The small logger behind the `log` crate: one line a record on standard error, as text or as JSON.
+//! A logger for the `log` crate that writes each record as one line of text or JSON to standard error.
 
 use log::kv::{Key, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
@@ -18,7 +18,7 @@
     Json,
 }
 
-/// The crates whose records are written: our own. Libraries log for their own developers.
+/// The crates whose records are written: those of this project. Records of libraries are dropped.
 const LOGGED_CRATES: [&str; 5] = [
     "coordinator",
     "fake_hosts",
@@ -29,20 +29,21 @@
 
 struct Logger(Format);
 
-/// Whether a record's target, the path of a module, lies in one of our crates.
+/// Whether a record's target, a module path, belongs to a crate of this project.
 fn is_own_target(target: &str) -> bool {
     let crate_name = target.split("::").next().unwrap_or_default();
     LOGGED_CRATES.contains(&crate_name)
 }
 
-/// Appends `key=value` pairs; a value with white space, quotes or nothing in it is quoted.
+/// Appends `key=value` pairs to a line. A value that is empty or has white space or quotes is quoted.
 struct TextPairs<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for TextPairs<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let text = value.to_string();
-        let plain = !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c == '"');
-        let _ = if plain {
+        let needs_no_quotes =
+            !text.is_empty() && !text.contains(|c: char| c.is_whitespace() || c == '"');
+        let _ = if needs_no_quotes {
             write!(self.0, " {key}={text}")
         } else {
             write!(self.0, " {key}={text:?}")
@@ -51,6 +52,7 @@
     }
 }
 
+/// Inserts pairs into a JSON object; numbers and booleans keep their type.
 struct JsonPairs<'a>(&'a mut Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for JsonPairs<'_> {
@@ -71,7 +73,7 @@
 }
 
 impl Format {
-    /// One record as a line without its end.
+    /// Formats one record as a line, without a line feed. `since_epoch` is the record's Unix time.
     pub fn line(self, since_epoch: Duration, record: &Record) -> String {
         let (s, ms) = (since_epoch.as_secs(), since_epoch.subsec_millis());
         match self {
@@ -89,7 +91,7 @@
                 if let Some(core) = crate::cores::current_core_of_several() {
                     fields.insert("core".into(), core.into());
                 }
-                // What every line has goes before a key of the same name.
+                // The fields of every line take precedence over a record's key of the same name.
                 fields.insert("ts".into(), since_epoch.as_secs_f64().into());
                 fields.insert("level".into(), record.level().as_str().into());
                 fields.insert("target".into(), record.target().into());
@@ -110,7 +112,7 @@
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
-            // A log that can't be written must not stop the service.
+            // A failed write to the log must not stop the service.
             let _ = writeln!(std::io::stderr().lock(), "{}", self.0.line(now, record));
         }
     }
@@ -120,7 +122,7 @@
 
 static LOGGER: OnceLock<Logger> = OnceLock::new();
 
-/// Starts logging at this level; a second call only changes the level.
+/// Installs the logger at this level and format. A second call changes only the level.
 pub fn start(level: LevelFilter, format: Format) {
     let _ = log::set_logger(LOGGER.get_or_init(|| Logger(format)));
     log::set_max_level(level);
