--- a/crates/multi-core/tests/drain_gates.rs
+++ b/crates/multi-core/tests/drain_gates.rs
@@ -1,4 +1,4 @@
-//! Drain gates that several cores share, with their interleavings explored under loom.
+//! Drain gates shared by several cores. With the feature `loom` all interleavings are explored.
 
 mod support;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn drain_when_a_core_has_not_read_of_it_then_its_gate_is_closed_there() {
+fn drain_when_a_core_has_not_read_the_update_then_its_gate_is_closed() {
     explore(|| {
         let gates = DrainGates::new(2);
         let gate = gates.gate("h");
@@ -22,10 +22,13 @@
                 revision
             })
         };
-        // This core has acknowledged nothing. If it can see that another one has, its gate is closed.
-        let seen = gates.acknowledged(0);
-        let open = gate.allows_send(150);
-        assert!(seen == 0 || !open, "a send after an acknowledged drain");
+        // This thread has not acknowledged the update. Once it sees another core's acknowledgement, the gate is closed.
+        let acknowledged = gates.acknowledged(0);
+        let is_open = gate.allows_send(150);
+        assert!(
+            acknowledged == 0 || !is_open,
+            "a send after an acknowledged drain"
+        );
         let revision = other.join().unwrap();
         assert!(!gate.allows_send(100) && gate.allows_send(99));
         assert_eq!(
@@ -40,40 +43,40 @@
 }
 
 #[test]
-fn host_when_two_cores_meet_it_for_the_first_time_then_it_has_one_gate() {
+fn host_when_two_cores_look_it_up_first_at_once_then_they_share_one_gate() {
     explore(|| {
         let gates = DrainGates::new(2);
         let other = {
             let gates = gates.clone();
             spawn(move || gates.gate("h"))
         };
-        let mine = gates.gate("h");
-        let theirs = other.join().unwrap();
+        let own_gate = gates.gate("h");
+        let other_gate = other.join().unwrap();
         publish(&gates, "h", false, 10);
-        assert!(!mine.allows_send(10) && !theirs.allows_send(10));
+        assert!(!own_gate.allows_send(10) && !other_gate.allows_send(10));
     });
 }
 
 #[test]
-fn drain_when_repeated_then_its_grace_is_no_longer_and_a_host_that_is_back_is_sent_to() {
+fn drain_when_repeated_then_its_grace_is_not_extended_and_a_ready_host_reopens() {
     explore(|| {
         let gates = DrainGates::new(1);
         publish(&gates, "h", false, 100);
         publish(&gates, "h", false, 200);
         assert!(
             !gates.gate("h").allows_send(100),
-            "its repetition lengthens nothing"
+            "a repeated drain does not extend the grace"
         );
         publish(&gates, "h", true, 300);
         assert!(gates.gate("h").allows_send(1_000_000));
-        // A whole list without it.
+        // A complete list without the host.
         gates.publish(true, [("other", true)].into_iter(), 400);
         assert!(!gates.gate("h").allows_send(400) && gates.gate("other").allows_send(400));
-        let held = gates.gate("h");
+        let old_gate = gates.gate("h");
         gates.prune(500);
         assert!(
-            !held.allows_send(500),
-            "who holds the old gate finds it closed"
+            !old_gate.allows_send(500),
+            "a gate that was removed stays closed for its holders"
         );
     });
 }
--- a/crates/multi-core/tests/key_ownership.rs
+++ b/crates/multi-core/tests/key_ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of query names by several cores, with their interleavings explored under loom.
+//! Ownership of query names by several cores. With the feature `loom` all interleavings are explored.
 
 mod support;
 
@@ -14,19 +14,22 @@
             let (names, name) = (names.clone(), name.clone());
             spawn(move || names.claim(&name, 1))
         };
-        let mine = names.claim(&name, 0);
-        let theirs = other.join().unwrap();
-        assert!(mine != theirs, "one of them has it: {mine} {theirs}");
-        // The one that has not got it can't free it.
-        names.release(&name, usize::from(mine));
+        let claimed_here = names.claim(&name, 0);
+        let claimed_by_other = other.join().unwrap();
+        assert!(
+            claimed_here != claimed_by_other,
+            "exactly one core owns the name: {claimed_here} {claimed_by_other}"
+        );
+        // The core that does not own the name can't free it.
+        names.release(&name, usize::from(claimed_here));
         assert_eq!(names.len(), 1);
-        names.release(&name, usize::from(theirs));
+        names.release(&name, usize::from(claimed_by_other));
         assert!(names.is_empty());
     });
 }
 
 #[test]
-fn core_when_it_ends_then_its_own_names_are_free_and_no_others() {
+fn core_when_it_ends_then_only_its_own_names_are_freed() {
     explore(|| {
         let names = KeyOwnership::new();
         let name = |n: &str| std::sync::Arc::<str>::from(n);
--- a/crates/multi-core/tests/shared_budget.rs
+++ b/crates/multi-core/tests/shared_budget.rs
@@ -1,4 +1,4 @@
-//! A budget that several cores share, with their interleavings explored under loom.
+//! A budget shared by several cores. With the feature `loom` all interleavings are explored.
 
 mod support;
 
@@ -8,31 +8,31 @@
 use support::{Arc, AtomicUsize, Ordering};
 
 #[test]
-fn last_units_when_two_cores_want_them_then_not_both_get_them() {
+fn last_units_when_two_cores_acquire_them_then_at_most_one_succeeds() {
     explore(|| {
         let budget = SharedBudget::new(3, 2, 1);
         let other = {
             let budget = budget.clone();
             spawn(move || {
-                let got = budget.acquire(1, 2);
+                let acquired = budget.acquire(1, 2);
                 assert!(budget.used() <= 3);
-                if got {
+                if acquired {
                     budget.release(1, 2);
                 }
-                got
+                acquired
             })
         };
-        let got = budget.acquire(0, 2);
-        assert!(budget.used() <= 3, "more in use than the cap");
-        let theirs = other.join().unwrap();
-        // Whoever came last found all that the other had given back or never had.
-        if got {
+        let acquired = budget.acquire(0, 2);
+        assert!(budget.used() <= 3, "more units in use than the capacity");
+        let acquired_by_other = other.join().unwrap();
+        // Both attempts are over; return this core's units.
+        if acquired {
             budget.release(0, 2);
         }
-        assert_eq!(budget.accounted(), 3, "nothing lost, nothing made");
+        assert_eq!(budget.accounted(), 3, "units were lost or created");
         assert!(
             budget.acquire(0, 3),
-            "with nobody else under way all that is free can be had: {got} {theirs}"
+            "while no other core acquires, all free units can be acquired: {acquired} {acquired_by_other}"
         );
     });
 }
@@ -41,22 +41,22 @@
 fn units_when_another_core_has_spare_ones_then_they_are_borrowed_before_a_refusal() {
     explore(|| {
         let budget = SharedBudget::new(4, 2, 4);
-        let (a, c) = (
+        let (first, second) = (
             SharedBudget::lease(&budget, 0),
             SharedBudget::lease(&budget, 1),
         );
         // The first core borrows a chunk of all four and uses one.
-        assert!(a.acquire(1));
-        assert!(c.acquire(3), "three lie spare on the other core");
-        assert!(!c.acquire(1) && !a.acquire(1));
+        assert!(first.acquire(1));
+        assert!(second.acquire(3), "the other core has three spare units");
+        assert!(!second.acquire(1) && !first.acquire(1));
         assert_eq!((budget.used(), budget.accounted()), (4, 4));
-        a.release(1);
-        assert!(c.acquire(1));
+        first.release(1);
+        assert!(second.acquire(1));
     });
 }
 
 #[test]
-fn core_when_it_dies_while_another_borrows_then_it_gives_back_once() {
+fn core_when_it_ends_while_another_acquires_then_its_units_are_returned_once() {
     explore(|| {
         let budget = SharedBudget::new(4, 2, 1);
         let dying = SharedBudget::lease(&budget, 0);
@@ -64,39 +64,39 @@
         let other = {
             let budget = budget.clone();
             spawn(move || {
-                let got = budget.acquire(1, 3);
-                assert!(budget.used() <= 4, "more in use than the cap");
-                got
+                let acquired = budget.acquire(1, 3);
+                assert!(budget.used() <= 4, "more units in use than the capacity");
+                acquired
             })
         };
-        // Dropped by unwinding, and told again by whoever joins its thread.
+        // The lease is dropped by unwinding, and the core is retired again by the thread that joins it.
         drop(dying);
         budget.retire(0);
-        let got = other.join().unwrap();
-        assert_eq!(budget.accounted(), 4, "given back twice or lost");
-        assert_eq!(budget.used(), if got { 3 } else { 0 });
+        let acquired = other.join().unwrap();
+        assert_eq!(budget.accounted(), 4, "units were returned twice or lost");
+        assert_eq!(budget.used(), if acquired { 3 } else { 0 });
     });
 }
 
-/// The same with a seeded bug: a check and an act apart. It shows that a double spend would be found.
+/// A seeded bug, a check that is separate from its update: shows that the exploration finds a double spend.
 #[test]
 #[cfg(feature = "loom")]
 #[should_panic(expected = "spent twice")]
-fn seeded_bug_when_check_and_act_are_apart_then_the_double_spend_is_found() {
+fn seeded_bug_when_check_and_update_are_separate_then_the_double_spend_is_found() {
     explore(|| {
         let pool = Arc::new(AtomicUsize::new(1));
         let take = |pool: &AtomicUsize| {
-            let have = pool.load(Ordering::SeqCst);
-            if have > 0 {
-                pool.store(have - 1, Ordering::SeqCst);
+            let available = pool.load(Ordering::SeqCst);
+            if available > 0 {
+                pool.store(available - 1, Ordering::SeqCst);
             }
-            have > 0
+            available > 0
         };
         let other = {
             let pool = pool.clone();
             spawn(move || take(&pool))
         };
-        let mine = take(&pool);
-        assert!(!(mine && other.join().unwrap()), "spent twice");
+        let taken_here = take(&pool);
+        assert!(!(taken_here && other.join().unwrap()), "spent twice");
     });
 }
