--- a/crates/coordinator/tests/cores.rs
+++ b/crates/coordinator/tests/cores.rs
@@ -1,5 +1,5 @@
-//! Several cores in one process. A logger stands in for what may hold a core up or bring it down: at the
-//! trace line of a query whose name says so, the thread sleeps or panics.
+//! Several cores in one process. The tests' logger blocks or ends a core: at the trace line of a query whose name starts
+//! with `stall` or `panic`, the thread sleeps or panics.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
@@ -12,9 +12,9 @@
 use std::time::Instant;
 use support::*;
 
-struct Trap;
+struct FaultInjectingLogger;
 
-impl log::Log for Trap {
+impl log::Log for FaultInjectingLogger {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -24,36 +24,37 @@
         if line.starts_with("query stall") {
             std::thread::sleep(ms(1500));
         }
-        assert!(!line.starts_with("query panic"), "a planted panic");
+        assert!(!line.starts_with("query panic"), "an injected panic");
     }
 
     fn flush(&self) {}
 }
 
-/// One at a time: these tests count threads' time.
-fn alone() -> MutexGuard<'static, ()> {
+/// Installs the logger and returns a lock, so that these tests, which depend on timing, run one at a time.
+fn run_alone() -> MutexGuard<'static, ()> {
     static START: Once = Once::new();
-    static ONE: Mutex<()> = Mutex::new(());
+    static LOCK: Mutex<()> = Mutex::new(());
     START.call_once(|| {
-        log::set_logger(&Trap).unwrap();
+        log::set_logger(&FaultInjectingLogger).unwrap();
         log::set_max_level(log::LevelFilter::Trace);
     });
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn cores(n: usize) -> String {
+/// The operator's file for `n` cores.
+fn operator_file(n: usize) -> String {
     format!("[cores]\ncount = {n}\n")
 }
 
 fn start(members: &[Value], settings: &Value, discovery: Option<&str>, n: usize) -> Coordinator {
     Coordinator::start(
         &config("127.0.0.1:0", members, settings, discovery),
-        &cores(n),
+        &operator_file(n),
     )
 }
 
-/// Connections, each on the next core in turn: they are dealt to the core with the fewest.
-fn clients(c: &Coordinator, n: usize) -> Vec<Client> {
+/// Opens `n` connections, which are assigned to the cores in turn, as each goes to the core with the fewest.
+fn connect_clients(c: &Coordinator, n: usize) -> Vec<Client> {
     (0..n)
         .map(|_| {
             let mut client = Client::new(&c.addr);
@@ -63,7 +64,8 @@
         .collect()
 }
 
-fn keyed(id: &str, key: &str, shard: u32) -> (String, String) {
+/// The headers and the body of a booking with an idempotency key.
+fn keyed_booking(id: &str, key: &str, shard: u32) -> (String, String) {
     let headers = format!(
         "Req-Id: {id}\r\nReq-Kind: book\r\nReq-Deadline-Ms: 3000\r\nIdempotency-Key: {key}\r\n"
     );
@@ -72,27 +74,27 @@
     (headers, body)
 }
 
-/// A key whose bookings the first core has, found by asking through a client.
+/// An idempotency key that the first core owns, found by sending bookings through a client.
 fn key_of_first_core(c: &Coordinator, client: &mut Client) -> String {
-    let at_first = |key: &String| {
+    let is_owned_by_first_core = |key: &String| {
         let before = c.counters.on_core(0, "taken.queries");
-        let (headers, body) = keyed(&format!("probe-{key}"), key, 0);
+        let (headers, body) = keyed_booking(&format!("probe-{key}"), key, 0);
         assert_eq!(client.ask("POST", "/book", &headers, &body).0, 200);
         c.counters.on_core(0, "taken.queries") > before
     };
     (0..100)
         .map(|n| format!("key{n}"))
-        .find(at_first)
+        .find(is_owned_by_first_core)
         .expect("a key of the first core")
 }
 
 #[test]
 fn queries_are_served_on_all_cores_and_counted_by_core_and_in_sum() {
-    let _alone = alone();
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| Act::Serve(format!("v{}", s.shard)));
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 4);
-    let mut all = clients(&c, 8);
+    let mut all = connect_clients(&c, 8);
     for (n, client) in all.iter_mut().enumerate() {
         client.query("near", &format!("q{n}"), 3000, &[0]);
         assert_eq!(client.read().0, 200);
@@ -111,10 +113,10 @@
     c.join();
 }
 
-/// The grace is 600 ms here; the core is held up for 1.5 s with queries in its mailbox.
+/// The drain grace is 600 ms, and the core is blocked for 1.5 s with queries in its mailbox.
 #[test]
-fn a_drain_is_in_force_on_a_core_that_is_busy_meanwhile() {
-    let _alone = alone();
+fn a_drain_is_in_force_on_a_blocked_core() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let serve = |s: &Seen| Act::Serve(format!("v{}", s.shard));
     let (old, new) = (
@@ -126,7 +128,7 @@
     quick["safety"]["drain_grace"] = json!(600.0);
     let members = [member(0, &old.addr, 0, "Ready")];
     let mut c = start(&members, &quick, Some(&discovery), 2);
-    let mut all = clients(&c, 6);
+    let mut all = connect_clients(&c, 6);
     // Both cores know the host and have a connection to it.
     for (n, client) in all.iter_mut().enumerate() {
         client.query("near", &format!("w{n}"), 3000, &[0]);
@@ -148,15 +150,15 @@
         c.counters.on_core(1, "list.news") > news
     });
     let told = Instant::now();
-    // What comes to the stalled core while it stands still is decided on only once it goes on.
+    // Queries sent to the stalled core are handled only once it continues.
     for n in [2, 4] {
         all[n].query("near", &format!("late{n}"), 5000, &[0]);
     }
     for n in [0, 2, 4] {
-        // Its goal may have passed meanwhile: then it is turned away, which is final as well.
+        // Its latency target may have passed meanwhile; then it is refused, which is a final answer too.
         let status = all[n].read().0;
         assert!([200, 429].contains(&status), "{status}");
-        // The successor is new and gets its first parts slowly: until it has taken one, others are refused.
+        // The successor is in slow start: until it has served a part, further ones are refused.
         let mut tries = 0;
         until("the successor serves", || {
             tries += 1;
@@ -182,15 +184,15 @@
 }
 
 #[test]
-fn one_name_is_open_on_one_core_only() {
-    let _alone = alone();
+fn a_query_name_can_be_open_on_one_core_only() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         std::thread::sleep(ms(400));
         Act::Serve(format!("v{}", s.shard))
     });
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 2);
-    let mut all = clients(&c, 2);
+    let mut all = connect_clients(&c, 2);
     all[0].query("near", "same", 3000, &[0]);
     until("the first is out", || ledger.all().len() == 1);
     all[1].query("near", "same", 3000, &[0]);
@@ -206,16 +208,16 @@
     c.join();
 }
 
-/// Bookings of one key meet on the key's core, so that two cores can't both spend what its class allows.
+/// Bookings with one key run on the key's core, so that two cores can't both use the attempts that its class allows.
 #[test]
-fn the_same_booking_key_on_two_connections_meets_on_one_core() {
-    let _alone = alone();
+fn bookings_with_one_key_on_several_connections_run_on_one_core() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |_| Act::Broke);
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 4);
-    let mut all = clients(&c, 4);
+    let mut all = connect_clients(&c, 4);
     for (n, client) in all.iter_mut().enumerate() {
-        let (headers, body) = keyed(&format!("b{n}"), "one-key", 0);
+        let (headers, body) = keyed_booking(&format!("b{n}"), "one-key", 0);
         client.send("POST", "/book", &headers, &body);
     }
     for client in &mut all {
@@ -223,7 +225,7 @@
     }
     let by_core = [0, 1, 2, 3].map(|n| c.counters.on_core(n, "taken.queries"));
     assert_eq!(by_core.iter().max(), Some(&4), "{by_core:?}");
-    // No part was tried more often than its class allows, nor after its window.
+    // No part had more attempts than its class allows, nor an attempt after its window.
     let parts = ledger.attempts(3, ms(1000));
     assert_eq!(parts.len(), 4);
     drop(all);
@@ -232,15 +234,15 @@
 
 #[test]
 fn a_core_with_all_the_clients_hands_queries_to_an_idle_one() {
-    let _alone = alone();
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         std::thread::sleep(ms(5));
         Act::Serve(format!("v{}", s.shard))
     });
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 2);
-    let mut all = clients(&c, 80);
-    // Every second connection is the other core's: those go.
+    let mut all = connect_clients(&c, 80);
+    // Every second connection belongs to the other core; these are closed.
     let mut n = 0;
     all.retain(|_| {
         n += 1;
@@ -268,14 +270,14 @@
 }
 
 #[test]
-fn the_cap_on_what_is_open_is_one_over_all_cores() {
-    let _alone = alone();
+fn the_limit_on_open_parts_is_shared_by_all_cores() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |_| Act::Silent);
     let mut small = settings();
     small["caps"]["open_cap"] = json!(20);
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &small, None, 4);
-    let mut all = clients(&c, 20);
+    let mut all = connect_clients(&c, 20);
     for (n, client) in all.iter_mut().enumerate() {
         // Two units each: the query and its part.
         client.query("near", &format!("q{n}"), 3000, &[0]);
@@ -283,8 +285,8 @@
     let statuses: Vec<u16> = all.iter_mut().map(|client| client.read().0).collect();
     assert_eq!(statuses.len(), 20);
     let over = c.counters.get("answered.refused.open_cap");
-    // Ten fit; a core that gathers units while another does may refuse one more each.
-    assert!((10..=14).contains(&over), "{over} refused for the cap");
+    // Ten queries fit. While several cores acquire units at once, each may refuse one more.
+    assert!((10..=14).contains(&over), "{over} refused for the limit");
     assert_eq!(c.counters.get("taken.queries"), 20);
     drop(all);
     c.join();
@@ -292,32 +294,32 @@
 
 #[test]
 fn a_core_that_panics_fails_its_queries_at_once_and_the_others_serve_on() {
-    let _alone = alone();
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| match s.text.as_str() {
         "what" if s.id.starts_with("slow") => Act::Silent,
         _ => Act::Serve(format!("v{}", s.shard)),
     });
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 2);
-    let mut all = clients(&c, 4);
-    // A booking that another core's client has sent to the core that is going to end.
+    let mut all = connect_clients(&c, 4);
+    // A booking from another core's client that is handled by the core that will panic.
     let key = key_of_first_core(&c, &mut all[1]);
-    let (headers, body) = keyed("slow", &key, 0);
+    let (headers, body) = keyed_booking("slow", &key, 0);
     all[1].send("POST", "/book", &headers, &body);
     until("the booking is out", || {
         ledger.all().iter().any(|s| s.id.starts_with("slow"))
     });
     all[0].query("near", "panic-now", 3000, &[0]);
     assert!(all[0].ended(), "its own clients lose their connections");
-    // At its deadline it would have been a 504.
+    // If it had waited for its deadline, the status would be 504.
     assert_eq!(all[1].read().0, 500, "a final answer at once");
-    until("the main thread has heard", || {
+    until("the main thread was notified", || {
         c.counters.get("cores.ended") == 1
     });
-    // The same key has another core now, new connections too, and the names are free again.
-    let (headers, body) = keyed("again", &key, 0);
+    // The key and new connections are now assigned to another core, and the query names are free again.
+    let (headers, body) = keyed_booking("again", &key, 0);
     assert_eq!(all[3].ask("POST", "/book", &headers, &body).0, 200);
-    let mut more = clients(&c, 3);
+    let mut more = connect_clients(&c, 3);
     for (n, client) in more.iter_mut().enumerate() {
         client.query("near", &format!("after{n}"), 3000, &[0]);
         assert_eq!(client.read().0, 200);
@@ -327,32 +329,32 @@
 }
 
 #[test]
-fn what_another_core_has_that_stands_still_fails_at_once() {
-    let _alone = alone();
+fn a_query_owned_by_a_stalled_core_fails_at_once() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| Act::Serve(format!("v{}", s.shard)));
     let mut c = start(&[member(0, &h.addr, 0, "Ready")], &settings(), None, 2);
-    let mut all = clients(&c, 4);
+    let mut all = connect_clients(&c, 4);
     let key = key_of_first_core(&c, &mut all[1]);
     let taken = c.counters.get("taken.queries");
     all[0].query("near", "stall-b", 5000, &[0]);
     until("the core stands still", || {
         c.counters.get("taken.queries") == taken + 1
     });
-    let (headers, body) = keyed("held", &key, 0);
-    // Once the other core goes on it would be a 200.
+    let (headers, body) = keyed_booking("held", &key, 0);
+    // If it had waited for the other core, the status would be 200.
     assert_eq!(all[1].ask("POST", "/book", &headers, &body).0, 500);
-    // The core is back: all that it held is answered, and it serves.
+    // The core continues: its pending queries are answered, and it serves new ones.
     assert!([200, 429].contains(&all[0].read().0));
-    let (headers, body) = keyed("after", &key, 0);
+    let (headers, body) = keyed_booking("after", &key, 0);
     assert_eq!(all[3].ask("POST", "/book", &headers, &body).0, 200);
     drop(all);
     c.join();
 }
 
 #[test]
-fn what_one_core_learns_of_an_unreachable_host_the_others_hear() {
-    let _alone = alone();
+fn an_unreachable_host_is_reported_to_the_other_cores() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let good = host(0, false, &ledger, |s| {
         std::thread::sleep(ms(20));
@@ -368,9 +370,8 @@
         member(1, &gone, 0, "Ready"),
     ];
     let mut c = start(&members, &settings(), None, 2);
-    let mut all = clients(&c, 8);
-    // Only the first core's clients ask, until one of their parts has met the host that is not there and a
-    // probe has met it as well.
+    let mut all = connect_clients(&c, 8);
+    // Only the first core's clients send queries, until a part and a probe have both failed to connect to the host.
     let begun = Instant::now();
     while c.counters.get("cores.told_unreached") == 0 && begun.elapsed() < PATIENCE {
         for n in [0, 2, 4, 6] {
@@ -390,11 +391,11 @@
     c.join();
 }
 
-/// Each has a query that is held, so that none ends, or makes room as an idle one, before all have come. A
-/// host without an answer yet is given five parts by each core.
+/// Each connection has a pending query, so that none ends or is closed as idle before all are open. Each core sends at
+/// most five parts to a host that has not answered yet.
 #[test]
-fn five_hundred_connections_at_once_are_dealt_evenly() {
-    let _alone = alone();
+fn five_hundred_connections_are_distributed_evenly() {
+    let _alone = run_alone();
     let ledger = Ledger::default();
     let hosts: Vec<Host> = (0..40)
         .map(|n| host(n, false, &ledger, |_| Act::Silent))
@@ -410,7 +411,7 @@
     let text = config("127.0.0.1:0", &members, &patient, None);
     let mut text: Value = serde_json::from_str(&text).unwrap();
     text["limits"] = json!({"sockets": 2048, "memory_mb": 512});
-    let mut c = Coordinator::start(&text.to_string(), &cores(4));
+    let mut c = Coordinator::start(&text.to_string(), &operator_file(4));
     let mut all: Vec<Client> = Vec::new();
     for n in 0..500 {
         let mut client = Client::new(&c.addr);
--- a/crates/coordinator/tests/logger.rs
+++ b/crates/coordinator/tests/logger.rs
@@ -6,7 +6,7 @@
 use serde_json::Value as Json;
 use std::time::Duration;
 
-fn lines(format: Format) -> String {
+fn formatted_line(format: Format) -> String {
     let pairs = [
         ("end", Value::from("host_closed")),
         ("detail", "a \"b\"".into()),
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn line_when_text_then_its_pairs_can_be_told_apart() {
+fn line_when_text_then_values_with_quotes_are_quoted() {
     assert_eq!(
-        lines(Format::Text),
+        formatted_line(Format::Text),
         "1.500 INFO host end=host_closed detail=\"a \\\"b\\\"\" parts=3"
     );
 }
 
 #[test]
 fn line_when_json_then_numbers_stay_numbers() {
-    let json: Json = serde_json::from_str(&lines(Format::Json)).unwrap();
-    let want = serde_json::json!({"ts": 1.5, "level": "INFO", "target": "coordinator::net", "msg": "host",
+    let json: Json = serde_json::from_str(&formatted_line(Format::Json)).unwrap();
+    let expected = serde_json::json!({"ts": 1.5, "level": "INFO", "target": "coordinator::net", "msg": "host",
         "end": "host_closed", "detail": "a \"b\"", "parts": 3});
-    assert_eq!(json, want);
+    assert_eq!(json, expected);
 }
--- a/crates/coordinator/tests/manual_ejection.rs
+++ b/crates/coordinator/tests/manual_ejection.rs
@@ -1,4 +1,4 @@
-//! Hosts that the operators took out, over what their source says of them.
+//! Manual ejections, applied to the updates of a host list.
 
 use coordinator::core::Endpoint;
 use coordinator::ops::manual_ejection::{EjectionError, ManualEjections};
@@ -26,7 +26,7 @@
 use ServerState::{Draining, Gone, Ready};
 
 #[test]
-fn host_when_ejected_then_discovery_does_not_lift_it_and_one_restore_does() {
+fn host_when_ejected_then_only_a_restore_ends_it_and_not_discovery() {
     let mut ejections = ManualEjections::default();
     assert_eq!(
         ejections.set_ejected("a", true, 5),
@@ -37,13 +37,13 @@
         states(&ejections.set_ejected("a", true, 5).unwrap()),
         [("a", Draining, 1)]
     );
-    // Out twice is once.
+    // A repeated ejection changes nothing.
     assert_eq!(ejections.set_ejected("a", true, 6), Ok(vec![]));
     for kind in [Full, Changes, Cached] {
-        let told = ejections.apply_update(kind, vec![host("a", Ready, 2), host("b", Ready, 1)]);
-        assert_eq!(states(&told), [("a", Draining, 2), ("b", Ready, 1)]);
+        let update = ejections.apply_update(kind, vec![host("a", Ready, 2), host("b", Ready, 1)]);
+        assert_eq!(states(&update), [("a", Draining, 2), ("b", Ready, 1)]);
     }
-    // It leaves the list, comes again, is left out of a whole list: out all the while.
+    // The host stays ejected while it leaves the list, returns and is missing from a full list.
     assert_eq!(
         states(&ejections.apply_update(Changes, vec![host("a", Gone, 2)])),
         [("a", Gone, 2)]
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn host_when_restored_then_it_counts_as_started_then_or_later_if_discovery_says_so() {
+fn host_when_restored_then_its_start_is_the_restore_or_a_later_start_in_the_list() {
     let mut ejections = ManualEjections::default();
     ejections.apply_update(Full, vec![host("a", Ready, 10)]);
     ejections.set_ejected("a", true, 20).unwrap();
-    // Restarted meanwhile, and draining by discovery's own word: that stands after the call back.
+    // Restarted meanwhile and draining according to discovery: it still drains after the restore.
     ejections.apply_update(Changes, vec![host("a", Draining, 30)]);
     assert_eq!(
         states(&ejections.set_ejected("a", false, 40).unwrap()),
--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -1,4 +1,4 @@
-//! The operator's address: ready, figures and hosts out by hand, beside bad callers and a core that stands.
+//! The operator's address: readiness, counters and manual ejection, with misbehaving callers and a blocked core.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
@@ -19,10 +19,10 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Answers are due within this.
-const DUE: Duration = Duration::from_secs(1);
+/// Maximum time for a response.
+const RESPONSE_DEADLINE: Duration = Duration::from_secs(1);
 
-fn value(seen: &Seen) -> Act {
+fn serve_value(seen: &Seen) -> Act {
     Act::Serve(format!("v{}", seen.shard))
 }
 
@@ -33,25 +33,29 @@
     Coordinator::start(&text.to_string(), "")
 }
 
-/// One call, answered in time.
-fn call(desk: &str, method: &str, path: &str) -> (u16, String) {
+/// Sends one request and checks that it is answered in time. Returns the status and the body.
+fn call(operator_address: &str, method: &str, path: &str) -> (u16, String) {
     let begun = Instant::now();
-    let (status, _, body) = Client::new(desk).ask(method, path, "", "");
-    assert!(begun.elapsed() < DUE, "{path} took {:?}", begun.elapsed());
+    let (status, _, body) = Client::new(operator_address).ask(method, path, "", "");
+    assert!(
+        begun.elapsed() < RESPONSE_DEADLINE,
+        "{path} took {:?}",
+        begun.elapsed()
+    );
     (status, body)
 }
 
-fn order(desk: &str, id: &str, what: &str) -> u16 {
+fn order(operator_address: &str, id: &str, what: &str) -> u16 {
     call(
-        desk,
+        operator_address,
         "POST",
         &format!("/control/district-hosts/{id}/{what}"),
     )
     .0
 }
 
-fn figures(desk: &str) -> BTreeMap<String, u64> {
-    let (status, text) = call(desk, "GET", "/control/counters");
+fn counters_page(operator_address: &str) -> BTreeMap<String, u64> {
+    let (status, text) = call(operator_address, "GET", "/control/counters");
     assert_eq!(status, 200);
     let line = |l: &str| {
         l.split_once('=')
@@ -61,15 +65,15 @@
     text.lines().map(line).collect()
 }
 
-/// Waits for a figure to come to a value: the list's are shown a few times a second.
-fn until_figure(desk: &str, name: &str, n: u64) {
-    until(name, || figures(desk)[name] == n);
+/// Waits until a counter has a value; those of the host list are updated a few times a second.
+fn until_counter(operator_address: &str, name: &str, n: u64) {
+    until(name, || counters_page(operator_address)[name] == n);
 }
 
 #[test]
-fn callers_that_stall_by_the_hundred_keep_nobody_out() {
+fn a_hundred_stalled_callers_block_no_other_caller() {
     let ledger = Ledger::default();
-    let h = host(0, false, &ledger, value);
+    let h = host(0, false, &ledger, serve_value);
     let c = start(&[member(0, &h.addr, 0, "Ready")], None);
     until("ready", || call(&c.desk, "GET", "/control/ready").0 == 200);
     let stalled: Vec<TcpStream> = (0..100)
@@ -81,9 +85,9 @@
         })
         .collect();
     assert_eq!(call(&c.desk, "GET", "/control/ready").0, 200);
-    assert!(figures(&c.desk)["pool_size"] == 1);
+    assert!(counters_page(&c.desk)["pool_size"] == 1);
     drop(stalled);
-    // One call a connection: what is behind it is not read.
+    // One request for each connection: a second one is not read.
     let mut two = Client::new(&c.desk);
     two.write(b"GET /control/ready HTTP/1.1\r\n\r\nGET /control/ready HTTP/1.1\r\n\r\n");
     assert_eq!(two.read().0, 200);
@@ -130,42 +134,42 @@
     assert_eq!(order(&c.desk, "nobody", "online"), 404);
 }
 
-/// With a core that takes nothing, figures and ready come at once, and an order gets an honest no in time.
+/// With a core that reads no messages, counters and readiness are answered at once, and an order is refused in time.
 #[test]
-fn a_core_that_stands_still_holds_up_no_answer() {
+fn a_blocked_core_delays_no_response() {
     let counters = Counters::default();
     counters.of_classes(&["near".to_owned()]);
     let (_stop, stopping) = tokio::sync::watch::channel(false);
     let readiness = Readiness::new(stopping, never_restarted(), counters.clone());
     let (members, _never_read) = tokio::sync::mpsc::channel(2);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let desk = listener.local_addr().unwrap().to_string();
+    let operator_address = listener.local_addr().unwrap().to_string();
     AdminServer::new(readiness.clone(), counters, members)
         .serve(listener)
         .unwrap();
     assert_eq!(
-        call(&desk, "GET", "/control/ready"),
+        call(&operator_address, "GET", "/control/ready"),
         (503, "not accepting connections\n".into())
     );
     readiness.set_accepting();
     assert_eq!(
-        call(&desk, "GET", "/control/ready"),
+        call(&operator_address, "GET", "/control/ready"),
         (503, "no district host in service\n".into())
     );
-    assert_eq!(figures(&desk)["responses.near.ok"], 0);
-    assert_eq!(order(&desk, "s-0", "offline"), 503);
-    assert_eq!(order(&desk, "s-0", "offline"), 503);
-    // The queue of orders is full by now: a no at once.
-    assert_eq!(order(&desk, "s-0", "offline"), 503);
+    assert_eq!(counters_page(&operator_address)["responses.near.ok"], 0);
+    assert_eq!(order(&operator_address, "s-0", "offline"), 503);
+    assert_eq!(order(&operator_address, "s-0", "offline"), 503);
+    // The queue of orders is full now, so this one is refused at once.
+    assert_eq!(order(&operator_address, "s-0", "offline"), 503);
 }
 
 #[test]
-fn counts_are_exact_after_a_mix_of_all_ends() {
+fn counters_are_exact_after_requests_with_all_results() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| match s.text.as_str() {
         _ if s.id.starts_with("fail") => Act::Broke,
         _ if s.id.starts_with("gone") => Act::Silent,
-        _ => value(s),
+        _ => serve_value(s),
     });
     let c = start(&[member(0, &h.addr, 0, "Ready")], None);
     let mut client = Client::new(&c.addr);
@@ -173,21 +177,21 @@
         client.query("near", &format!("ok{n}"), 2000, &[0, 2]);
         assert_eq!(client.read().0, 200);
     }
-    // Failed in a class that may be repeated is refused: its client may ask again.
+    // A failure in an idempotent class may be answered as a refusal, as the client may retry.
     client.query("near", "fail1", 300, &[0]);
     let refused = client.read().0;
     assert!([429, 504].contains(&refused), "{refused}");
-    // No query at all, and one of a shard that nobody holds.
+    // An invalid query, and one of a shard that no host holds.
     assert_eq!(client.ask("POST", "/near", "Req-Id: x\r\n", "{}").0, 400);
     client.query("book", "none", 2000, &[1]);
     assert_eq!(client.read().0, 429);
-    // One that its client abandons: it is open until then, and no answer counts.
-    let mut leaver = Client::new(&c.addr);
-    leaver.query("report", "gone1", 2500, &[0]);
-    until_figure(&c.desk, "active", 1);
-    drop(leaver);
-    until_figure(&c.desk, "active", 0);
-    let f = figures(&c.desk);
+    // A query that its client abandons is active until then and counts as no answer.
+    let mut abandoning_client = Client::new(&c.addr);
+    abandoning_client.query("report", "gone1", 2500, &[0]);
+    until_counter(&c.desk, "active", 1);
+    drop(abandoning_client);
+    until_counter(&c.desk, "active", 0);
+    let f = counters_page(&c.desk);
     let of = |name: &str| f[&format!("responses.{name}")];
     assert_eq!(
         (of("near.ok"), of("near.shed") + of("near.errors")),
@@ -202,8 +206,7 @@
         (of("report.ok"), of("report.shed"), of("report.errors")),
         (0, 0, 0)
     );
-    // Every attempt that a host read whole, no more and no fewer.
-    // A host may still be reading what was written to it.
+    // Every attempt that a host has read counts exactly once. A host may still be reading the last ones.
     until("each attempt is read", || {
         ledger.all().len() as u64 == f["tries"]
     });
@@ -213,13 +216,13 @@
     );
 }
 
-/// Out by hand: nothing new after the drain's grace, whatever discovery says; back: used again.
+/// An ejected host gets no new requests after the drain grace, whatever discovery reports; a restored one is used again.
 #[test]
-fn a_host_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn an_ejected_host_gets_no_requests_until_it_is_restored() {
     let ledger = Ledger::default();
     let hosts = [
-        host(0, false, &ledger, value),
-        host(1, false, &ledger, value),
+        host(0, false, &ledger, serve_value),
+        host(1, false, &ledger, serve_value),
     ];
     let members: Vec<Value> = (0..2)
         .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
@@ -228,7 +231,7 @@
     let c = start(&members, Some(&discovery));
     let id = members[0]["id"].as_str().unwrap().to_owned();
     let other = members[1]["id"].as_str().unwrap().to_owned();
-    // Several at a time: one alone always finds the same host idle.
+    // Several queries at a time: a single one always finds the same host idle.
     let mut clients: Vec<Client> = (0..8).map(|_| Client::new(&c.addr)).collect();
     let mut asked = 0;
     let mut ask = |want: u16| {
@@ -247,23 +250,27 @@
             .all(|n| ledger.all().iter().any(|s| s.host == *n))
     });
     assert_eq!(order(&c.desk, &id, "offline"), 200);
-    assert_eq!(order(&c.desk, &id, "offline"), 200, "out twice is out");
-    until_figure(&c.desk, "pool_ejected", 1);
-    // Discovery calls it ready, drops it and lists it again.
+    assert_eq!(
+        order(&c.desk, &id, "offline"),
+        200,
+        "a repeated order succeeds"
+    );
+    until_counter(&c.desk, "pool_ejected", 1);
+    // Discovery reports the host as ready, drops it and lists it again.
     let whole = |revision: u64, members: &[Value]| {
         json!({"revision": revision, "complete": true, "members": members}).to_string()
     };
     lines.send(whole(5, &members)).unwrap();
     lines.send(whole(6, &members[1..])).unwrap();
-    until_figure(&c.desk, "pool_size", 1);
+    until_counter(&c.desk, "pool_size", 1);
     lines.send(whole(7, &members)).unwrap();
-    until_figure(&c.desk, "pool_size", 2);
-    // To be listed anew gives no new grace: that counts from the order.
+    until_counter(&c.desk, "pool_size", 2);
+    // Listing it again starts no new drain grace: the grace counts from the order.
     std::thread::sleep(ms(2000));
     let before = ledger.all().iter().filter(|s| s.host == 0).count();
     (0..20).for_each(|_| ask(200));
     assert_eq!(ledger.all().iter().filter(|s| s.host == 0).count(), before);
-    // The sole holder left goes too: once its grace is over there is nobody, and ready says so.
+    // The only other host is ejected too. After its grace no host is in service, which readiness reports.
     assert_eq!(order(&c.desk, &other, "offline"), 200);
     until("not ready", || {
         call(&c.desk, "GET", "/control/ready").0 == 503
@@ -272,26 +279,26 @@
     assert_eq!(order(&c.desk, &other, "online"), 200);
     assert_eq!(order(&c.desk, &id, "online"), 200);
     assert_eq!(order(&c.desk, &id, "online"), 200);
-    let back = Instant::now();
-    until("the one called back is used", || {
+    let restored_at = Instant::now();
+    until("the restored host is used", || {
         ask(200);
         ledger.all().iter().filter(|s| s.host == 0).count() > before
     });
     assert!(
-        back.elapsed() < Duration::from_secs(5),
+        restored_at.elapsed() < Duration::from_secs(5),
         "not used for {:?}",
-        back.elapsed()
+        restored_at.elapsed()
     );
-    until_figure(&c.desk, "pool_ejected", 0);
+    until_counter(&c.desk, "pool_ejected", 0);
 }
 
-/// An order is given while queries come: after the yes and the drain's grace the host sees nothing.
+/// Under load, an ejected host gets no request after the order is confirmed and the drain grace is over.
 #[test]
-fn under_load_nothing_starts_at_a_host_after_the_grace() {
+fn under_load_an_ejected_host_gets_no_request_after_the_grace() {
     let ledger = Ledger::default();
     let hosts = [
-        host(0, false, &ledger, value),
-        host(1, false, &ledger, value),
+        host(0, false, &ledger, serve_value),
+        host(1, false, &ledger, serve_value),
     ];
     let members: Vec<Value> = (0..2)
         .map(|n| member(n, &hosts[n].addr, 0, "Ready"))
@@ -325,7 +332,7 @@
     let count = || ledger.all().iter().filter(|s| s.host == 0).count();
     let before = count();
     let others = ledger.all().len();
-    until("the other one goes on", || {
+    until("the other host serves more requests", || {
         ledger.all().len() > others + 200
     });
     assert_eq!(count(), before);
--- a/crates/coordinator/tests/process.rs
+++ b/crates/coordinator/tests/process.rs
@@ -1,4 +1,4 @@
-//! The coordinator as a process: its command line, its exit codes, its end.
+//! The coordinator as a process: its command line, exit codes, signals and shutdown.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
@@ -25,42 +25,45 @@
     command
 }
 
-/// A file of this test process, by its name.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file with a name that is unique for this test process. Returns its path.
+fn temporary_file(name: &str, text: &str) -> PathBuf {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Checks a configuration: the exit code and what was said.
-fn check(name: &str, config: &str, operator: Option<&str>) -> (Option<i32>, String) {
+/// Runs `check-config`. Returns the exit code and the output.
+fn check_config(name: &str, config: &str, operator: Option<&str>) -> (Option<i32>, String) {
     let mut command = binary();
     command
         .args(["check-config", "--config"])
-        .arg(file(name, config));
+        .arg(temporary_file(name, config));
     if let Some(text) = operator {
         command
             .arg("--operator")
-            .arg(file(&format!("{name}.toml"), text));
+            .arg(temporary_file(&format!("{name}.toml"), text));
     }
-    let out = command.output().unwrap();
+    let result = command.output().unwrap();
     (
-        out.status.code(),
-        String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+        result.status.code(),
+        String::from_utf8_lossy(&[result.stdout, result.stderr].concat()).into_owned(),
     )
 }
 
 #[test]
-fn a_bad_configuration_ends_with_2_and_the_name_of_the_key() {
-    let good = || -> Value {
+fn an_invalid_configuration_exits_with_2_and_names_the_key() {
+    let valid_config = || -> Value {
         serde_json::from_str(&config("127.0.0.1:1", &[], &settings(), None)).unwrap()
     };
-    assert_eq!(check("good", &good().to_string(), None).0, Some(0));
-    // The smallest machine that the platform gives: refusing it was a crash at every start.
-    let mut small = good();
+    assert_eq!(
+        check_config("good", &valid_config().to_string(), None).0,
+        Some(0)
+    );
+    // The limits of the platform's smallest machine. Refusing them made the process fail at every start.
+    let mut small = valid_config();
     small["limits"] = json!({"sockets": 256, "memory_mb": 32});
-    assert_eq!(check("small", &small.to_string(), None).0, Some(0));
+    assert_eq!(check_config("small", &small.to_string(), None).0, Some(0));
     let cases: [(&str, Value); 9] = [
         ("discovery", json!(5)),
         ("limits", json!({"sockets": "many"})),
@@ -73,24 +76,24 @@
         ("settings", json!({"step": 5})),
     ];
     for (n, (key, value)) in cases.into_iter().enumerate() {
-        let mut bad = good();
-        bad[key] = value;
-        let (code, said) = check(&format!("bad{n}"), &bad.to_string(), None);
+        let mut invalid = valid_config();
+        invalid[key] = value;
+        let (code, output) = check_config(&format!("invalid{n}"), &invalid.to_string(), None);
         assert!(
-            code == Some(2) && said.contains(key),
-            "{key}: {code:?} {said}"
+            code == Some(2) && output.contains(key),
+            "{key}: {code:?} {output}"
         );
     }
     for number in [json!(0), json!(4_000_000_000u32), json!(-1), json!(null)] {
-        let mut bad = good();
-        bad["settings"]["balancers"] = number.clone();
-        let (code, said) = check("balancers", &bad.to_string(), None);
+        let mut invalid = valid_config();
+        invalid["settings"]["balancers"] = number.clone();
+        let (code, output) = check_config("balancers", &invalid.to_string(), None);
         assert!(
-            code == Some(2) && said.contains("balancers"),
-            "{number}: {code:?} {said}"
+            code == Some(2) && output.contains("balancers"),
+            "{number}: {code:?} {output}"
         );
     }
-    // Settings that are zero, huge or negative were taken without a word.
+    // Settings that are zero, huge or negative were once accepted without an error.
     let (zero, huge, below) = (json!(0), json!(1e300), json!(-1));
     for (parent, key, values) in [
         ("", "step", vec![&zero, &huge, &below]),
@@ -119,27 +122,27 @@
         ("", "classes", vec![&json!([])]),
     ] {
         for value in values {
-            let mut bad = good();
-            bad["settings"].pointer_mut(parent).unwrap()[key] = value.clone();
-            let (code, said) = check("extreme", &bad.to_string(), None);
+            let mut invalid = valid_config();
+            invalid["settings"].pointer_mut(parent).unwrap()[key] = value.clone();
+            let (code, output) = check_config("extreme", &invalid.to_string(), None);
             assert!(
-                code == Some(2) && said.contains(key),
-                "{key}: {value}: {code:?} {said}"
+                code == Some(2) && output.contains(key),
+                "{key}: {value}: {code:?} {output}"
             );
         }
     }
     for limit in ["sockets", "memory_mb"] {
-        let mut bad = good();
-        bad["limits"] = json!({limit: 1u64 << 60});
-        let (code, said) = check("limits", &bad.to_string(), None);
+        let mut invalid = valid_config();
+        invalid["limits"] = json!({limit: 1u64 << 60});
+        let (code, output) = check_config("limits", &invalid.to_string(), None);
         assert!(
-            code == Some(2) && said.contains(limit),
-            "{limit}: {code:?} {said}"
+            code == Some(2) && output.contains(limit),
+            "{limit}: {code:?} {output}"
         );
     }
-    let mut alone = good();
+    let mut alone = valid_config();
     alone["settings"]["balancers"] = json!(1);
-    assert_eq!(check("alone", &alone.to_string(), None).0, Some(0));
+    assert_eq!(check_config("alone", &alone.to_string(), None).0, Some(0));
     let index = "[opensearch]\n[[opensearch.index]]\nname = 'a'\n";
     let districts = "districts = {x = 0}";
     for (n, (text, key)) in [
@@ -166,10 +169,11 @@
     .into_iter()
     .enumerate()
     {
-        let (code, said) = check(&format!("op{n}"), &good().to_string(), Some(&text));
+        let (code, output) =
+            check_config(&format!("op{n}"), &valid_config().to_string(), Some(&text));
         assert!(
-            code == Some(2) && said.contains(key),
-            "{key}: {code:?} {said}"
+            code == Some(2) && output.contains(key),
+            "{key}: {code:?} {output}"
         );
     }
     assert_eq!(
@@ -179,60 +183,60 @@
     );
 }
 
-/// The file that operators start from must fit the settings of this deployment's classes.
+/// The example files for operators must match the settings of this deployment's classes.
 #[test]
-fn the_operators_example_is_sound() {
-    let mut ours = settings();
+fn the_operators_examples_are_valid() {
+    let mut deployment_settings = settings();
     for (n, name) in ["nearby-search", "fleet-report", "ride-booking"]
         .into_iter()
         .enumerate()
     {
-        ours["classes"][n]["name"] = name.into();
+        deployment_settings["classes"][n]["name"] = name.into();
     }
-    ours["tenants"][0]["name"] = "coop-anfa".into();
-    let text = config("127.0.0.1:1", &[], &ours, None);
+    deployment_settings["tenants"][0]["name"] = "coop-anfa".into();
+    let text = config("127.0.0.1:1", &[], &deployment_settings, None);
     for example in [
         include_str!("../../../deploy/opensearch.toml"),
         include_str!("../../../deploy/cores.toml"),
     ] {
-        let (code, said) = check("example", &text, Some(example));
-        assert_eq!(code, Some(0), "{said}");
+        let (code, output) = check_config("example", &text, Some(example));
+        assert_eq!(code, Some(0), "{output}");
     }
 }
 
-/// A child that ends with its test, whatever becomes of that: left over, it would hold the runner's output.
-struct Guard(Child);
+/// Kills a child process when its test ends, also by a panic: left running, it would keep the runner's output open.
+struct ChildGuard(Child);
 
-impl std::ops::Deref for Guard {
+impl std::ops::Deref for ChildGuard {
     type Target = Child;
     fn deref(&self) -> &Child {
         &self.0
     }
 }
 
-impl std::ops::DerefMut for Guard {
+impl std::ops::DerefMut for ChildGuard {
     fn deref_mut(&mut self) -> &mut Child {
         &mut self.0
     }
 }
 
-impl Drop for Guard {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The coordinator as a process, its log, and where it listens.
-fn serve(path: &PathBuf) -> (Guard, BufReader<ChildStderr>, String) {
+/// Starts the coordinator process. Returns it with its log and its address for clients.
+fn serve(path: &PathBuf) -> (ChildGuard, BufReader<ChildStderr>, String) {
     serve_with(path, None)
 }
 
-/// The same with an operator's file.
+/// Starts the coordinator process, with an operator's file if given. Returns as [`serve`].
 fn serve_with(
     path: &PathBuf,
     operator: Option<&PathBuf>,
-) -> (Guard, BufReader<ChildStderr>, String) {
+) -> (ChildGuard, BufReader<ChildStderr>, String) {
     let mut command = binary();
     command
         .arg("serve")
@@ -241,20 +245,20 @@
     if let Some(operator) = operator {
         command.arg("--operator").arg(operator);
     }
-    let mut child = Guard(command.stdout(Stdio::null()).spawn().unwrap());
+    let mut child = ChildGuard(command.stdout(Stdio::null()).spawn().unwrap());
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let line = line_with(&mut log, "listening on ");
     let addr = line.rsplit(' ').next().unwrap().to_owned();
     (child, log, addr)
 }
 
-/// Reads the log up to a line with these words.
+/// Reads the log up to a line that contains `words`. Returns that line.
 fn line_with(log: &mut BufReader<ChildStderr>, words: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
             log.read_line(&mut line).unwrap() > 0,
-            "it ended before it said '{words}'"
+            "the log ended without '{words}'"
         );
         if line.contains(words) {
             return line.trim_end().to_owned();
@@ -270,13 +274,13 @@
         .success());
 }
 
-/// Unhandled, SIGHUP ends the process. A bad file must cost nothing, a good one is followed.
+/// SIGHUP must not end the process. An invalid file is ignored, the discovery address of a valid one is used.
 #[test]
-fn sighup_reads_the_configuration_again() {
+fn sighup_reloads_the_configuration() {
     let (old, _old_lines) = discovery();
     let (new, _new_lines) = discovery();
     let text = |discovery: &str| config("127.0.0.1:0", &[], &settings(), Some(discovery));
-    let path = file("reload", &text(&old));
+    let path = temporary_file("reload", &text(&old));
     let (mut child, mut log, addr) = serve(&path);
     std::fs::write(&path, text("nowhere")).unwrap();
     signal(&child, "-HUP");
@@ -290,21 +294,21 @@
 }
 
 #[test]
-fn sigterm_ends_it_with_0_after_all_answers() {
+fn after_sigterm_the_process_exits_with_0_once_all_requests_are_answered() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         std::thread::sleep(ms(300));
         Act::Serve(format!("v{}", s.shard))
     });
     let members = [member(0, &h.addr, 0, "Ready")];
-    let path = file("serve", &config("127.0.0.1:0", &members, &settings(), None));
+    let path = temporary_file("serve", &config("127.0.0.1:0", &members, &settings(), None));
     let (mut child, mut log, addr) = serve(&path);
     let mut client = Client::new(&addr);
     client.query("near", "q1", 3000, &[0]);
     until("the part is out", || ledger.all().len() == 1);
     signal(&child, "-TERM");
     assert_eq!(client.read().0, 200);
-    // New connections are still taken for a moment.
+    // New connections are still accepted for a short time.
     let mut late = Client::new(&addr);
     late.query("near", "q2", 3000, &[0]);
     assert_eq!(late.read().0, 200);
@@ -317,9 +321,9 @@
     );
 }
 
-/// SIGTERM again, and SIGHUP after it, while a request is out: neither cuts what was taken.
+/// A second SIGTERM and a SIGHUP while a request is in flight must not interrupt accepted requests.
 #[test]
-fn signals_after_sigterm_cost_no_answer() {
+fn signals_after_sigterm_lose_no_answer() {
     let ledger = Ledger::default();
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -328,7 +332,7 @@
         Act::Serve(format!("v{}", s.shard))
     });
     let members = [member(0, &h.addr, 0, "Ready")];
-    let path = file("twice", &config("127.0.0.1:0", &members, &settings(), None));
+    let path = temporary_file("twice", &config("127.0.0.1:0", &members, &settings(), None));
     let (mut child, mut log, addr) = serve(&path);
     let mut client = Client::new(&addr);
     client.query("near", "q1", 3000, &[0]);
@@ -344,9 +348,9 @@
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
-/// The same with four cores: a signal reaches all of them, and none ends before it has answered.
+/// With four cores a signal reaches all of them, and none ends before it has answered its requests.
 #[test]
-fn four_cores_follow_sighup_and_end_together_on_sigterm() {
+fn four_cores_apply_sighup_and_all_stop_on_sigterm() {
     let ledger = Ledger::default();
     let h = host(0, false, &ledger, |s| {
         std::thread::sleep(ms(300));
@@ -356,13 +360,13 @@
     let (new, new_lines) = discovery();
     let members = [member(0, &h.addr, 0, "Ready")];
     let text = |discovery: &str| config("127.0.0.1:0", &members, &settings(), Some(discovery));
-    let path = file("four", &text(&old));
-    let operator = file("four.toml", "[cores]\ncount = 4\npin = true\n");
+    let path = temporary_file("four", &text(&old));
+    let operator = temporary_file("four.toml", "[cores]\ncount = 4\npin = true\n");
     let (mut child, mut log, addr) = serve_with(&path, Some(&operator));
     std::fs::write(&path, text(&new)).unwrap();
     signal(&child, "-HUP");
     line_with(&mut log, "list: from");
-    // What the new discovery says reaches all cores: a host that it does not name is gone for each.
+    // The new discovery's updates reach all cores; a host that they don't name is gone on each.
     let full = json!({"revision": 9, "complete": true, "members": members}).to_string();
     new_lines.send(full).unwrap();
     let mut clients: Vec<Client> = (0..8).map(|_| Client::new(&addr)).collect();
@@ -383,7 +387,7 @@
     );
     assert!(
         (0..4).all(|n| rest.contains(&format!("core={n}"))),
-        "each core's clients ended there: {rest}"
+        "no log line of some core's clients: {rest}"
     );
     assert!(!rest.contains("a core has ended"), "{rest}");
 }
