--- a/crates/coordinator/src/cores/list_distributor.rs
+++ b/crates/coordinator/src/cores/list_distributor.rs
@@ -17,7 +17,8 @@
 const GATE_CLOSE_MARGIN: Duration = Duration::from_millis(50);
 /// How long a closed gate is kept before it is removed.
 const GATE_RETENTION: Duration = Duration::from_secs(60);
-/// Time after an update past which a core that has not acknowledged it is logged; also the interval of the acknowledge_check.
+/// Time after an update past which a core that has not acknowledged it is logged; also the interval
+/// of that check.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The task that distributes updates of the host list to all cores.
--- a/crates/coordinator/src/front/opensearch/scroll.rs
+++ b/crates/coordinator/src/front/opensearch/scroll.rs
@@ -113,8 +113,8 @@
         )))
     }
 
-    /// The number of the context with this id. An id of another incarnation counts as expired, as its contexts ended with
-    /// its process.
+    /// The number of the context with this id. An id of another incarnation counts as expired, as its contexts ended
+    /// with its process.
     fn number(&self, id: &str) -> Result<u64, Failure> {
         let unreadable = || {
             Failure::new(
--- a/crates/coordinator/src/ops/manual_ejection.rs
+++ b/crates/coordinator/src/ops/manual_ejection.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Ejects or restores a host at the Unix time `now_ms`, in milliseconds. Returns the update for the decision module,
-    /// which is empty if nothing changed or if the host is not listed yet.
+    /// Ejects or restores a host at the Unix time `now_ms`, in milliseconds. Returns the update for the decision
+    /// module, which is empty if nothing changed or if the host is not listed yet.
     ///
     /// # Errors
     /// [`EjectionError::UnknownHost`] if no source and no other process has listed this host,
--- a/crates/coordinator/src/ops/mod.rs
+++ b/crates/coordinator/src/ops/mod.rs
@@ -1,4 +1,5 @@
-//! Operational features: the operator's address, manual ejection, hot restart and readiness. `docs/design/operations.md` gives the design reasons.
+//! Operational features: the operator's address, manual ejection, hot restart and readiness.
+//! `docs/design/operations.md` gives the design reasons.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/coordinator/src/serve/listeners.rs
+++ b/crates/coordinator/src/serve/listeners.rs
@@ -52,10 +52,7 @@
 fn bind_operator(address: &str) -> std::io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|e| std::io::Error::new(e.kind(), format!("operator's address {address}: {e}")))?;
-    log::info!(
-        "operator's address: listening on {}",
-        listener.local_addr()?
-    );
+    log::info!("operator's address on {}", listener.local_addr()?);
     Ok(listener)
 }
 
--- a/crates/coordinator/tests/cores.rs
+++ b/crates/coordinator/tests/cores.rs
@@ -1,5 +1,5 @@
-//! Several cores in one process. The tests' logger blocks or ends a core: at the trace line of a query whose name starts
-//! with `stall` or `panic`, the thread sleeps or panics.
+//! Several cores in one process. The tests' logger blocks or ends a core: at the trace line of a query whose name
+//! starts with `stall` or `panic`, the thread sleeps or panics.
 #![allow(
     clippy::too_many_lines,
     reason = "long scenarios, to be split: docs/ROADMAP.md"
--- a/crates/coordinator/tests/ops.rs
+++ b/crates/coordinator/tests/ops.rs
@@ -216,7 +216,8 @@
     );
 }
 
-/// An ejected host gets no new requests after the drain grace, whatever discovery reports; a restored one is used again.
+/// An ejected host gets no new requests after the drain grace, whatever discovery reports; a restored one is used
+/// again.
 #[test]
 fn an_ejected_host_gets_no_requests_until_it_is_restored() {
     let ledger = Ledger::default();
--- a/crates/multi-core/src/core_dispatch.rs
+++ b/crates/multi-core/src/core_dispatch.rs
@@ -1,7 +1,7 @@
 //! Assignment of connections and queries to cores.
 //!
-//! A query stays on the core of its connection, unless that core is dead, is stalled, or has many more open queries than
-//! another one. A query with an idempotency key goes to the core that its key hashes to, so that all open queries with
+//! A query stays on the core of its connection, unless that core is dead, is stalled, or has many more open queries
+//! than another one. A query with an idempotency key goes to the core that its key hashes to, so that all open queries with
 //! one key are on one core.
 //!
 //! Times are microseconds since an origin that the caller chooses, the same for all cores.
@@ -134,8 +134,8 @@
             .find(|core| self.is_alive(*core))
     }
 
-    /// Counts a query that is about to be put into a core's mailbox. Returns false, without counting it, if the core has
-    /// the maximum number of open queries.
+    /// Counts a query that is about to be put into a core's mailbox. Returns false, without counting it, if the core
+    /// has the maximum number of open queries.
     pub fn try_enqueue(&self, core: usize, now_us: u64) -> bool {
         let status = &self.cores[core];
         if status.open_queries.fetch_add(1, Ordering::AcqRel) >= self.max_open_queries {
--- a/crates/multi-core/src/key_ownership.rs
+++ b/crates/multi-core/src/key_ownership.rs
@@ -1,5 +1,5 @@
-//! Ownership of query names. Two open queries with one name would use the same part names in the protocol with hosts, so
-//! the second one is a conflict, whichever core owns the first.
+//! Ownership of query names. Two open queries with one name would use the same part names in the protocol with hosts,
+//! so the second one is a conflict, whichever core owns the first.
 
 use crate::sync::{Arc, Mutex, MutexGuard};
 use std::collections::hash_map::Entry;
--- a/crates/multi-core/src/lib.rs
+++ b/crates/multi-core/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | shared state |
 //! | --- | --- |
 //! | [`core_dispatch`] | assignment of connections and queries to cores, and the cores' load and health |
-//! | [`drain_gates`] | the times from which no request may be sent to a host, and the list versions that cores have applied |
+//! | [`drain_gates`] | the times from which hosts get no requests, and the list versions that cores have applied |
 //! | [`key_ownership`] | the core that owns each query name in use |
 //! | [`shared_budget`] | a budget of units that each core has a lease on |
 //!
--- a/crates/multi-core/src/shared_budget.rs
+++ b/crates/multi-core/src/shared_budget.rs
@@ -1,5 +1,5 @@
-//! A budget of units shared by several cores, each of which has a lease. A core takes units from its own spare ones, then
-//! from the common pool, then from the spare units of other cores. The units in use never exceed the capacity.
+//! A budget of units shared by several cores, each of which has a lease. A core takes units from its own spare ones,
+//! then from the common pool, then from the spare units of other cores. The units in use never exceed the capacity.
 //!
 //! While a core gathers units for one request, it holds those that it has found so far. Two cores that both want the
 //! last units may then both be refused. A refusal is therefore possible while units are free, if their number is below
