--- a/crates/multi-core/src/core_dispatch.rs
+++ b/crates/multi-core/src/core_dispatch.rs
@@ -1,8 +1,8 @@
 //! Assignment of connections and queries to cores.
 //!
 //! A query stays on the core of its connection, unless that core is dead, is stalled, or has many more open queries
-//! than another one. A query with an idempotency key goes to the core that its key hashes to, so that all open queries with
-//! one key are on one core.
+//! than another one. A query with an idempotency key goes to the core that its key hashes to, so that all open queries
+//! with one key are on one core.
 //!
 //! Times are microseconds since an origin that the caller chooses, the same for all cores.
 
